--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -1,4 +1,5 @@
-//! Sends a request until there is an answer or the rules forbid another send.
+//! The send loop of a request: acquires a slot, sends, and decides after each send whether another
+//! one may follow.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -20,34 +21,38 @@
 use crate::work::Work;
 use crate::{Dispatch, Refused, Slot, Want, Why};
 
-/// When to come back after an upstream failed rather than a queue: by then another endpoint is
-/// likely to be chosen. Callers wait no longer than a third of the time that they have left.
+/// `retry-after` for requests that failed at an endpoint instead of being refused by a queue. After
+/// this delay the next attempt probably gets a different endpoint. Callers wait at most a third of
+/// their remaining time before they retry, so the delay has to be short.
 const RETRY_AFTER_FAILURE: Duration = Duration::from_millis(250);
-/// Sends that reach nobody cost little, but each takes the time of a connection that does not come
-/// up.
+/// Maximum number of sends that fail to connect. Such sends put no load on the service, but each
+/// one can take up to a connect timeout of the caller's deadline.
 const MAX_UNREACHED: u32 = 6;
-/// On trial a hedge starts after this part of the usual time, because the caller must not pay for the
-/// trial.
+/// Divides the hedge delay for endpoints on trial, so that a trial does not add much latency for
+/// the caller.
 const TRIAL_HEDGE_PART: u32 = 2;
 
-/// Slots at closed endpoints that are given back before a request counts as refused.
+/// Maximum number of acquire calls for one send when every granted slot belongs to an endpoint that
+/// currently accepts no requests from this node.
 const MAX_CLOSED: u32 = 4;
-/// A hedge that found no good endpoint free asks again after this long, a third of a short request.
+/// Delay before a hedge asks for a slot again when no good endpoint was free. A third of the
+/// duration of a short request.
 const HEDGE_AGAIN: Duration = Duration::from_millis(50);
 
-/// What has happened to a request so far.
+/// The sends of a request so far.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Endpoints that were reached, or could not be.
+    /// Endpoints that a send was made to, whether or not a connection came up.
     tried: Vec<SocketAddr>,
-    /// Sends that an endpoint may have seen.
+    /// Number of sends that an endpoint may have received.
     reached: u32,
-    /// Sends that reached nobody.
+    /// Number of sends of which nothing was written to an endpoint.
     unreached: u32,
+    /// Whether the outcome of an earlier send is unknown.
     unknown_before: bool,
 }
 
-/// Sends until there is an answer or the rules forbid another send.
+/// Sends a request until there is an answer or the route's rules forbid another send.
 pub(crate) async fn send_until_done<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Arc<Work>,
@@ -71,8 +76,9 @@
                 _ => end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress),
             };
         }
-        // A long body can be sent once. The wait for a slot may also have been a pause of this
-        // process: nothing is sent too late.
+        // A streamed body can be sent only once. The deadline is checked again because the process
+        // may have been suspended during the wait for a slot, and nothing is sent after the
+        // deadline.
         let Some(out) = body.next().filter(|_| !work.left().is_zero()) else {
             return end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress);
         };
@@ -106,7 +112,7 @@
 }
 
 impl Progress {
-    /// Which send comes next.
+    /// The kind of the next send.
     fn send_kind(&self) -> SendKind {
         match self.reached {
             0 if self.tried.is_empty() => SendKind::First,
@@ -127,7 +133,8 @@
     }
 }
 
-/// No further send: an endpoint's own failure goes to the caller if there is one.
+/// The result of a request that is not sent again. An error answer from an endpoint is passed on to
+/// the caller if there is one.
 fn end(
     failure: Option<Response<AnswerOut>>,
     refused: Refused,
@@ -144,6 +151,7 @@
     }
 }
 
+/// Waits for a slot until the deadline and records the wait.
 async fn acquire<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Work,
@@ -156,7 +164,8 @@
     slot.unwrap_or(Err(Refused::no_capacity(RETRY_AFTER_FAILURE)))
 }
 
-/// Asks again if the slot that is granted turns out to be at an endpoint that wants nothing from this node.
+/// Acquires a slot, and asks again if the granted slot belongs to an endpoint that currently
+/// accepts no requests from this node.
 pub(crate) async fn acquire_open<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     mut want: Want,
@@ -170,7 +179,8 @@
     Err(Refused::no_capacity(RETRY_AFTER_FAILURE))
 }
 
-/// One send and, on routes that allow it, a second one beside it when the first is late.
+/// Sends once and, on routes that allow hedging, starts a second concurrent send when the first one
+/// takes longer than the hedge delay of its grant.
 async fn hedged<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Arc<Work>,
@@ -206,7 +216,8 @@
         sent = &mut first => match sent {
             Sent::Answer(_) => (sent, None),
             _ if is_sent.load(Ordering::Relaxed) => (sent, second.await),
-            // The next send may wait for a slot, which a hedge may not.
+            // The hedge was not sent yet. The next regular send may wait for a slot; a hedge may
+            // not.
             _ => (sent, None),
         },
         hedge = &mut second => match hedge {
@@ -227,7 +238,7 @@
 }
 
 impl Progress {
-    /// Counts a send by whether an endpoint may have seen it.
+    /// Counts a send as reached or unreached and returns it.
     fn count(&mut self, sent: Sent) -> Sent {
         match sent {
             Sent::Unreached(_) => self.unreached += 1,
@@ -237,8 +248,8 @@
     }
 }
 
-/// A hedge goes out only if a good endpoint is free; until the deadline it looks for one again and
-/// again.
+/// Sends the hedge. It needs a good endpoint with a free slot and polls for one until the deadline.
+/// Sets `is_sent` just before the send; returns `None` if the hedge was never sent.
 async fn second_send<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Arc<Work>,
