--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send on one slot, and what its answer means.
+//! A single send on one slot, and the classification of its answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,26 +20,30 @@
 use crate::work::Work;
 use crate::{Dispatch, notice, trace};
 
-/// Endpoints say that the deadline has passed a little before it has: what is left is handed to them in
-/// whole milliseconds, and their clocks do not run quite like this one.
+/// Tolerance for endpoints that answer 504 shortly before the deadline. The remaining time is sent
+/// to them in whole milliseconds, and their clocks differ slightly from the local one.
 const DEADLINE_SLACK: Duration = Duration::from_millis(10);
 
 /// How one send ended.
 pub(crate) enum Sent {
+    /// An answer for the caller.
     Answer(Response<AnswerOut>),
-    /// An answer of the upstream that says it failed, on a request that may be sent again.
+    /// A server error from the endpoint, to a request that may be sent again.
     Failure(Response<AnswerOut>),
-    /// Nothing was written; the body comes back.
+    /// Nothing was written to the endpoint. Returns the body if it is still available.
     Unreached(Option<RequestOut>),
-    /// The endpoint says that it has not run the request.
+    /// The endpoint reports that it has not run the request.
     NotRun,
+    /// The request may have run.
     Unknown,
-    /// The same, and the endpoint's process has ended.
+    /// The request may have run, and the endpoint's process has ended.
     Crashed,
+    /// No answer within the deadline. The request may have run.
     TimedOut,
 }
 
 impl Sent {
+    /// Label for metrics and logs.
     fn name(&self) -> &'static str {
         match self {
             Self::Answer(res) if res.status().is_server_error() => "failed",
@@ -54,15 +58,15 @@
     }
 }
 
-/// Which send of a request it is.
+/// Whether a send is the first one of its request.
 pub(crate) enum Lane {
-    /// The first.
+    /// The first send.
     First(Race),
-    /// One after or beside another.
+    /// A repeat or a hedge.
     Further(Race),
 }
 
-/// One send on one slot.
+/// Sends the request once on `slot` and reports the outcome to dispatch, metrics and log.
 pub(crate) async fn attempt<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Arc<Work>,
@@ -117,29 +121,32 @@
     sent
 }
 
-/// What an answer says about its endpoint, given what is left until the deadline.
+/// Classifies a complete answer by its status and the time left until the deadline.
 pub(crate) fn kind_of(status: StatusCode, left: Duration) -> Kind {
     match status {
-        // How long it was open says whether that speaks against the endpoint.
+        // Not counted as a failure: the detector decides from the elapsed time whether the endpoint
+        // was too slow.
         StatusCode::GATEWAY_TIMEOUT if left < DEADLINE_SLACK => Kind::TimedOut,
         it if it.is_server_error() => Kind::Failed,
         _ => Kind::Answered,
     }
 }
 
-/// The connection broke before there was a whole answer.
+/// Ends a send whose connection broke before the answer was complete.
 async fn broken<D: Dispatch>(cx: &Cx<D>, open: Open<D::Slot>) -> Sent {
     let kind = break_kind(cx, open.addr()).await;
     open.end(kind);
     if kind == Kind::Crashed { Sent::Crashed } else { Sent::Unknown }
 }
 
-/// What a connection that broke says. Whether the endpoint has ended is looked up at once: it may be back soon, and a
-/// further send that goes out before that is known ends the next endpoint.
+/// Determines whether a connection broke because the endpoint's process has ended. The check runs
+/// immediately, because the process may be restarted soon, and because a repeat that is sent before
+/// the crash is known could crash the next endpoint.
 pub(crate) async fn break_kind<D: Dispatch>(cx: &Cx<D>, addr: SocketAddr) -> Kind {
     if cx.pool.has_ended(addr).await { Kind::Crashed } else { Kind::Failed }
 }
 
+/// Checks the head of an answer, reads the body as far as it is buffered and reports the outcome.
 async fn take_answer<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Arc<Work>,
@@ -147,14 +154,15 @@
     res: Response<AnswerBody<RequestOut>>,
     is_first: bool,
 ) -> Sent {
-    // An upstream that names the request it answers must name this one: answers may be crossed.
+    // If the answer carries a request ID, the ID must match: the endpoint may have mixed up the
+    // answers of two requests.
     let named = res.headers().get(&cx.names.request_id);
     if named.is_some_and(|it| Some(it) != work.headers.get(&cx.names.request_id)) {
         open.end(Kind::Failed);
         return Sent::Unknown;
     }
     if res.status() == StatusCode::MISDIRECTED_REQUEST {
-        // Another endpoint has the address now; the one that was meant is gone.
+        // The address now belongs to a different endpoint; the intended one is gone.
         open.end(Kind::Failed);
         return Sent::NotRun;
     }
