--- a/crates/caller/src/open.rs
+++ b/crates/caller/src/open.rs
@@ -1,4 +1,5 @@
-//! A slot in use, watched from the send to the end of the answer.
+//! A slot in use: tracks a request from the send to the end of the answer and reports its progress
+//! to dispatch.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -14,58 +15,64 @@
 use crate::Slot;
 use crate::body::{Reading, Start};
 
-/// A timer that fires this late means that this process was paused: it blames no endpoint.
+/// A timer that fires later than this indicates that the process was paused. The delay is then not
+/// attributed to the endpoint.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// An answer that is not whole this long after its head frees its endpoint's slot by a message of its own. Most answers
-/// are whole by then, and their end says the same.
+/// If an answer is still incomplete this long after its head, the start of the answer is reported
+/// separately, which frees the endpoint's slot early. Most answers are complete before that, and
+/// the report of their end frees the slot without an extra message.
 const BEGAN_AFTER: Duration = Duration::from_millis(5);
-/// A body that does not move for this long while it is waited for is stalled.
+/// A body is stalled if no data arrives for this long while it is being read.
 pub(crate) const STALL_AFTER: Duration = Duration::from_secs(1);
 
-/// A slot in use. Dropping it says for how long nothing came from the endpoint, so that a request that was
-/// abandoned late still counts against it.
+/// A slot in use. Dropping it reports how long the endpoint has been silent, so that a request that
+/// is abandoned after a long silence still counts against the endpoint.
 pub(crate) struct Open<S: Slot> {
     slot: Option<S>,
     grant: Grant,
     started: Moment,
-    /// When something last came from the endpoint; at first, when the request was sent.
+    /// When data last arrived from the endpoint; initially, when the request was sent.
     heard: Moment,
+    /// Time from the send to the head of the answer.
     answered_after: Option<Duration>,
     is_beginning_told: bool,
     is_stall_told: bool,
+    /// Whether the process was paused meanwhile. The outcome is then not reported.
     was_paused: bool,
     race: Race,
 }
 
-/// What is told of an answer that is not whole yet.
+/// A report about an answer that is still incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Word {
     Began,
     Stalled,
 }
 
-/// Tells a send that a hedge beside it was answered first.
+/// Shared by a send and its hedge: set when the hedge was answered first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Race(Arc<AtomicBool>);
 
 impl Race {
-    /// The send beside which the hedge ran is given up now.
+    /// Records that the hedge was answered first. The original send is dropped next.
     pub(crate) fn is_lost(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
+    /// The outcome to report when the original send is dropped.
     fn ending(&self) -> Kind {
         if self.0.load(Ordering::Relaxed) { Kind::Beaten } else { Kind::Abandoned }
     }
 }
 
 impl<S: Slot> Open<S> {
+    /// Starts the use of a slot for a send without a hedge.
     pub(crate) fn new(slot: S) -> Self {
         Self::in_race(slot, Race::default())
     }
 
-    /// The same for a send beside which a hedge may run.
+    /// Starts the use of a slot for a send that may be hedged.
     pub(crate) fn in_race(slot: S, race: Race) -> Self {
         let grant = slot.grant().clone();
         let started = Moment::now();
@@ -94,13 +101,13 @@
         self.grant().addr
     }
 
-    /// The head of an answer has come: fixes the time that counts as latency.
+    /// Records the arrival of the answer's head, which determines the latency of the request.
     pub(crate) fn answered(&mut self) {
         self.answered_after = Some(self.started.elapsed());
         self.heard();
     }
 
-    /// Tells that the answer has begun and lasts on.
+    /// Reports that the answer has begun and is not complete yet.
     pub(crate) fn tell_beginning(&mut self) {
         let Some(elapsed) = self.answered_after.filter(|_| !self.is_beginning_told) else { return };
         self.is_beginning_told = true;
@@ -109,7 +116,8 @@
         }
     }
 
-    /// The endpoint says something of itself. That it names no rate limit is news only where one was known.
+    /// Reports a notice from the endpoint. The absence of a rate limit is reported only if a limit
+    /// was known before.
     pub(crate) fn noticed(&mut self, notice: Notice) {
         let is_news = self.grant.is_rate_limited || notice != Notice::RateLimit(None);
         if let Some(slot) = self.slot.as_mut().filter(|_| is_news) {
@@ -117,12 +125,12 @@
         }
     }
 
-    /// Something came from the endpoint, or nothing was waited for until now.
+    /// Restarts the stall timer: data arrived from the endpoint, or a read starts only now.
     pub(crate) fn heard(&mut self) {
         self.heard = Moment::now();
     }
 
-    /// Tells that nothing comes any more.
+    /// Reports that the endpoint has stopped sending.
     pub(crate) fn stalled(&mut self) {
         self.is_stall_told = true;
         let elapsed = self.heard.elapsed();
@@ -131,11 +139,12 @@
         }
     }
 
+    /// Releases the slot and reports the outcome.
     pub(crate) fn end(mut self, kind: Kind) {
         self.give_back(kind);
     }
 
-    /// Gives the slot back while what was granted is still needed.
+    /// Releases the slot and reports the outcome, but keeps the grant available.
     pub(crate) fn give_back(&mut self, kind: Kind) {
         let elapsed = match kind {
             Kind::Answered => self.answered_after.unwrap_or_else(|| self.started.elapsed()),
@@ -149,8 +158,8 @@
         }
     }
 
-    /// Reads an answer whose head has come until it is whole, too long to hold, or past the deadline, which is said by
-    /// nothing. Tells on the way that it has begun, and that it has stopped moving.
+    /// Reads the body of an answer until it is complete or too long to buffer; returns `None` at
+    /// the deadline. Meanwhile reports that the answer has begun and whether it has stalled.
     pub(crate) async fn receive<B>(
         &mut self,
         body: B,
@@ -178,7 +187,7 @@
         }
     }
 
-    /// What is to be told next of an answer that is being received, and when.
+    /// The next report that is due for an answer that is being read, and when.
     fn next_word(&self) -> Option<(Moment, Word)> {
         match self.answered_after {
             Some(after) if !self.is_beginning_told => {
@@ -189,7 +198,7 @@
         }
     }
 
-    /// Waits until the deadline and reports a stall on the way. Nothing means that it passed.
+    /// Runs `fut` until the deadline and reports a stall meanwhile. Returns `None` at the deadline.
     pub(crate) async fn watch<F: Future>(&mut self, fut: F, deadline: Moment) -> Option<F::Output> {
         let mut fut = pin!(fut);
         let stall_at = (self.started + self.grant.stall_after).min(deadline);
