--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -1,7 +1,8 @@
-//! Answers that are passed on while they arrive, with back pressure from the caller.
+//! Streams long answers to the caller as they arrive, with back pressure.
 //!
-//! A download that stalls or breaks is continued on another endpoint if the upstream gave a strong
-//! validator and accepts ranges; otherwise it is visibly broken off.
+//! A download that stalls or breaks is resumed on another endpoint with a range request if the
+//! answer has a strong validator and the service accepts ranges. Otherwise the answer to the caller
+//! is aborted, so that the caller can detect the truncation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,34 +25,37 @@
 use crate::work::Work;
 use crate::{Dispatch, notice, trace};
 
-/// A stalled body that cannot be continued elsewhere is broken off after this.
+/// A stalled body that cannot be resumed elsewhere is aborted after this additional time.
 const GIVE_UP_AFTER: Duration = Duration::from_secs(30);
-/// Time to find another endpoint for the rest of a download.
+/// Time limit for resuming a download on another endpoint.
 const RESUME_WITHIN: Duration = Duration::from_secs(10);
-/// Continuations of one download.
+/// Maximum number of resume attempts per download.
 const MAX_RESUMES: u32 = 4;
-/// Parts on their way to the caller; more would only hide its pace.
+/// Capacity of the channel to the caller. A larger one would only delay back pressure.
 const PARTS_AHEAD: usize = 2;
 
-/// A body in motion.
+/// State of the task that streams one answer to the caller.
 pub(crate) struct Relay<D: Dispatch> {
     cx: Arc<Cx<D>>,
     work: Arc<Work>,
     open: Open<D::Slot>,
     body: AnswerBody<RequestOut>,
     tx: mpsc::Sender<Part>,
-    /// Bytes passed on to the caller.
+    /// Number of bytes passed on to the caller.
     sent: u64,
     resume: Option<Resume>,
 }
 
-/// What is needed to continue a download.
+/// What is needed to resume a download.
 struct Resume {
     etag: HeaderValue,
+    /// Length of the complete body.
     total: u64,
+    /// Attempts left.
     left: u32,
 }
 
+/// Result of one read from the endpoint.
 enum Step {
     Frame(Frame<Bytes>),
     End,
@@ -60,7 +64,8 @@
 }
 
 impl<D: Dispatch> Relay<D> {
-    /// Starts to pass on `body` and returns the caller's end of it.
+    /// Spawns a task that streams `start` and then `body`, and returns the caller's end of the
+    /// stream.
     pub(crate) fn start(
         cx: Arc<Cx<D>>,
         work: Arc<Work>,
@@ -76,7 +81,7 @@
         AnswerOut::Stream(rx)
     }
 
-    /// Ends when the answer does, or as soon as the caller has left.
+    /// Runs until the answer ends or the caller disconnects.
     async fn run(self, start: Bytes) {
         let tx = self.tx.clone();
         tokio::select! {
@@ -99,13 +104,14 @@
                 Step::End => Part::End,
                 step @ (Step::Broken | Step::Stalled) => {
                     if matches!(step, Step::Broken) {
-                        // First: the endpoint that goes on is chosen by what is known of this one and of the request.
+                        // Reported before the resume, so that dispatch takes the failure into
+                        // account when it chooses the next endpoint.
                         let kind = break_kind(&self.cx, self.open.addr()).await;
                         self.open.give_back(kind);
                     }
                     match self.resume().await {
                         true => continue,
-                        // Dropping the channel without `End` breaks the answer off.
+                        // Dropping the channel without `End` aborts the answer to the caller.
                         false => return self.break_off(&step),
                     }
                 }
@@ -122,12 +128,13 @@
         }
     }
 
+    /// Reads the next frame, and reports a stall.
     async fn step(&mut self) -> Step {
         let waiting_since = Instant::now();
         self.open.heard();
         let frame = match timeout(STALL_AFTER, self.body.frame()).await {
             Ok(frame) => frame,
-            // A timer that is very late speaks of this process, not of the endpoint.
+            // If the timer fires very late, this process was paused; the endpoint is not at fault.
             Err(_) if waiting_since.elapsed() > STALL_AFTER * 2 => return Step::Stalled,
             Err(_) => {
                 self.open.stalled();
@@ -147,7 +154,7 @@
         }
     }
 
-    /// Continues on another endpoint; the bytes that follow are the bytes that were missing.
+    /// Resumes the download on another endpoint at the first missing byte.
     async fn resume(&mut self) -> bool {
         let give_up_at = Instant::now() + RESUME_WITHIN;
         while Instant::now() < give_up_at {
@@ -163,6 +170,7 @@
         false
     }
 
+    /// Logs the abort and releases the slot.
     fn break_off(self, step: &Step) {
         let endpoint = self.open.grant().endpoint.clone();
         let reason = match step {
@@ -173,6 +181,7 @@
         self.open.end(Kind::Failed);
     }
 
+    /// Makes one attempt to resume.
     async fn try_resume(&mut self) -> Option<()> {
         let resume = self.resume.as_ref()?;
         let mut want = self.work.want(self.cx.paths.avoided(&[self.open.addr()]));
@@ -213,6 +222,7 @@
 }
 
 impl Resume {
+    /// The resume state for an answer, or `None` if the download cannot be resumed.
     fn of(method: &Method, parts: &response::Parts) -> Option<Self> {
         let headers = &parts.headers;
         let etag = headers.get(header::ETAG)?;
@@ -227,13 +237,14 @@
         })
     }
 
-    /// Asks for what follows the first `have` bytes.
+    /// Adds the headers that request the bytes after the first `have` ones.
     fn ask(&self, headers: &mut http::HeaderMap, have: u64) {
         let range = format!("bytes={have}-");
         headers.insert(header::RANGE, HeaderValue::from_str(&range).expect("digits"));
         headers.insert(header::IF_RANGE, self.etag.clone());
     }
 
+    /// Whether an answer contains exactly the missing bytes of the same version of the body.
     fn matches<B>(&self, res: &http::Response<B>, have: u64) -> bool {
         let range = format!("bytes {have}-{}/{}", self.total.saturating_sub(1), self.total);
         let headers = res.headers();
