--- a/crates/caller/src/work.rs
+++ b/crates/caller/src/work.rs
@@ -1,4 +1,4 @@
-//! One request after its route was found, and the requests sent for it.
+//! A request with its route, caller and deadline, and the upstream requests derived from it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,52 +18,53 @@
 use crate::identity::{Caller, Denied};
 use crate::{Snapshot, Want};
 
-/// An endpoint stops at the deadline that it was handed and says so; its own word is waited for
-/// this long, a round trip and a late scheduler.
+/// How long to wait past the deadline for the endpoint's own timeout answer: a round trip plus
+/// scheduling delay. Endpoints receive the deadline, and answer when they stop at it.
 const LAST_WORD: Duration = Duration::from_millis(80);
 
-/// One request after its route was found.
+/// A request whose route was found and whose caller was identified.
 pub(crate) struct Work {
     pub(crate) snapshot: Arc<Snapshot>,
     pub(crate) route: Arc<Route>,
-    /// The service that is to answer.
+    /// The service that the request is sent to, one of the route's.
     pub(crate) service: Name,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
-    /// What makes it the same as another request; known once its body was read.
+    /// Equal for identical requests. Set once the body has been read.
     pub(crate) key: RequestKey,
     pub(crate) span: Span,
     pub(crate) caller: Caller,
-    /// No work is handed out after it, and no endpoint is given more time.
+    /// Nothing is sent after the deadline, and it is passed on to the endpoints.
     pub(crate) deadline: Moment,
-    /// An answer is not waited for any longer.
+    /// When to stop waiting for an answer, a little after the deadline.
     pub(crate) give_up_at: Moment,
-    /// Time spent in waits for slots, in milliseconds.
+    /// Total time spent waiting for slots, in milliseconds.
     slot_ms: AtomicU64,
 }
 
-/// Why a request finds no route.
+/// Why a request is not routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoWork {
     /// No configuration is in force yet.
     NoConfiguration,
     /// No route matches, but a newer configuration may exist.
     MayBeOutdated,
-    /// No route matches, but a part of the configuration was left out.
+    /// No route matches, but invalid resources were left out of the configuration.
     MayBeLeftOut,
-    /// What the route says cannot be served.
+    /// The route is suspended because its configuration cannot be served.
     Suspended,
     /// No route matches.
     NoRoute,
-    /// The caller may not use it.
+    /// The caller is not authorized.
     Denied(Denied),
 }
 
 impl Work {
-    /// Finds the route.
+    /// Finds the route of a request and identifies its caller.
     pub(crate) fn new<D>(cx: &Cx<D>, req: &Request<Incoming>) -> Result<Self, NoWork> {
-        // Before the configuration, which may be replaced meanwhile by the one that is surely the newest.
+        // Read before the configuration is loaded. In the other order an outdated configuration
+        // could be combined with a freshness flag that was set for its successor.
         let is_fresh = cx.shared.is_fresh();
         let snapshot = Arc::clone(&cx.shared.load());
         if snapshot.config.version == 0 {
@@ -71,7 +72,7 @@
         }
         let host = headers::host_of(req.uri(), req.headers());
         let path = req.uri().path();
-        // Why something that is not known here may be known elsewhere.
+        // Why a route or key that is unknown here may still exist.
         let gap = match (is_fresh, snapshot.config.is_partial) {
             (false, _) => Some(NoWork::MayBeOutdated),
             (true, true) => Some(NoWork::MayBeLeftOut),
@@ -110,37 +111,41 @@
         })
     }
 
+    /// The request ID, for logs.
     pub(crate) fn request_id(&self, names: &HeaderNames) -> &str {
         self.headers.get(&names.request_id).and_then(|it| it.to_str().ok()).unwrap_or("(none)")
     }
 
-    /// Records a wait for a slot.
+    /// Adds to the time spent waiting for slots.
     pub(crate) fn waited(&self, it: Duration) {
         self.slot_ms.fetch_add(it.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Time spent in waits for slots, in milliseconds.
+    /// Total time spent waiting for slots, in milliseconds.
     pub(crate) fn slot_ms(&self) -> u64 {
         self.slot_ms.load(Ordering::Relaxed)
     }
 
-    /// Whether the caller may still be served by what is in force now.
+    /// Whether the caller is still authorized by the configuration that is in force now.
     pub(crate) fn may_be_sent<D>(&self, cx: &Cx<D>) -> bool {
         let current = cx.shared.load();
         current.config.version == self.snapshot.config.version
             || self.caller.is_known_to(&current.config.callers)
     }
 
+    /// Time left until the deadline.
     pub(crate) fn left(&self) -> Duration {
         self.deadline.left()
     }
 
-    /// Whether no further send may follow one after `sends_before` that reached an endpoint.
+    /// Whether the next send is the last one that the route allows, after `sends_before` earlier
+    /// sends that reached an endpoint.
     pub(crate) fn is_last_send(&self, sends_before: u32) -> bool {
         self.route.repeat != Repeat::Anytime || sends_before + 1 >= self.route.max_sends
     }
 
-    /// The only regions whose endpoints may serve it, if that is restricted: what its route and its organisation both allow.
+    /// The regions whose endpoints may serve the request: those that both the route and the
+    /// organisation allow. `None` if neither restricts them.
     fn regions(&self) -> Option<Vec<Name>> {
         let (route, caller) = (&self.route.regions[..], self.caller.regions());
         match (route, caller) {
@@ -152,6 +157,7 @@
         }
     }
 
+    /// The slot request for the first send. `avoid` lists endpoints to use only as a last resort.
     pub(crate) fn want(&self, avoid: Vec<SocketAddr>) -> Want {
         Want {
             route: self.route.clone(),
@@ -169,7 +175,7 @@
         }
     }
 
-    /// The request for one send, with a span of its own.
+    /// The upstream request for one send.
     pub(crate) fn request(
         &self,
         names: &HeaderNames,
@@ -191,7 +197,7 @@
     }
 }
 
-/// The caller's headers without those of this hop. The request's identity is made up if absent.
+/// The caller's headers without the hop-by-hop ones. Generates a request ID if there is none.
 fn onward_headers(names: &HeaderNames, req: &Request<Incoming>, span: &Span) -> HeaderMap {
     let mut out = req.headers().clone();
     headers::strip_hop_by_hop(&mut out);
@@ -209,6 +215,7 @@
     out
 }
 
+/// The path and query of a URI.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |it| it.as_str());
     path.parse().expect("the path of a valid URI is a valid URI")
