--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where slots come from.
+//! The interface to dispatch, which hands out slots on endpoints.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,28 +7,28 @@
 use policy::{Grant, Kind, Notice, RequestKey, SendKind};
 use resources::{Name, Priority, Route};
 
-/// A request that needs a slot.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub struct Want {
-    /// The route it matched.
+    /// The route that the request matched.
     pub route: Arc<Route>,
-    /// The service that is to answer.
+    /// The service that the request is sent to.
     pub service: Name,
-    /// What makes the request the same as another one.
+    /// Equal for identical requests.
     pub request: RequestKey,
     /// Hash of the caller's organisation.
     pub organisation: u64,
     /// Weight of the organisation.
     pub weight: u32,
-    /// Which work goes first.
+    /// Priority in the queue.
     pub priority: Priority,
-    /// The only regions whose endpoints may serve it, if that is restricted.
+    /// The regions whose endpoints may serve the request; `None` for all.
     pub regions: Option<Vec<Name>>,
-    /// Endpoints to use last.
+    /// Endpoints to use only as a last resort.
     pub avoid: Vec<SocketAddr>,
-    /// Which send of the request it is for.
+    /// Which send of the request the slot is for.
     pub send: SendKind,
-    /// Whether to wait for a slot; a hedge does not.
+    /// Whether to queue for a slot. Hedges do not queue.
     pub wait: bool,
     /// Time left until the deadline.
     pub left: Duration,
@@ -36,82 +36,88 @@
     pub is_last: bool,
 }
 
-/// No slot can be had in time.
+/// A request for a slot that was refused.
 #[derive(Clone, Copy, Debug)]
 pub struct Refused {
-    /// When the caller should come back.
+    /// When the caller should retry.
     pub retry_after: Duration,
-    /// Why there is none.
+    /// Why no slot was granted.
     pub why: Why,
 }
 
-/// Why a request gets no slot.
+/// Why a request for a slot is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// None is free in time.
+    /// No slot becomes free in time.
     NoCapacity,
-    /// Endpoints end under the request.
+    /// Endpoints crash when they run the request.
     CrashesEndpoints,
-    /// The endpoint of the slot has told this node since it asked that it wants nothing: another one may.
+    /// While the request was pending, the endpoint of the granted slot notified this node that it
+    /// accepts no requests. Another endpoint may accept them.
     Closed,
 }
 
 impl Refused {
-    /// The slot was at an endpoint that wants nothing from this node.
+    /// A refusal because the granted slot belongs to an endpoint that accepts no requests from this
+    /// node.
     pub fn closed() -> Self {
         Self { retry_after: Duration::ZERO, why: Why::Closed }
     }
 
-    /// No slot is free in time.
+    /// A refusal because no slot becomes free in time.
     pub fn no_capacity(retry_after: Duration) -> Self {
         Self { retry_after, why: Why::NoCapacity }
     }
 }
 
-/// Whether an organisation may make one more request.
+/// Whether an organisation may make another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may.
+    /// The organisation may make the request.
     Granted,
-    /// Its allowance is used up.
+    /// The allowance of the organisation is used up.
     Exhausted {
-        /// When there is room for one that comes back.
+        /// When the allowance covers another request.
         retry_after: Duration,
     },
-    /// No node can be asked that knows what is left of it, and the part of this one is used up.
+    /// No node that tracks the allowance can be reached, and the quota share of this node is used
+    /// up.
     Unknown,
 }
 
-/// A slot on one endpoint. Dropping it gives it back without evidence.
+/// A slot on one endpoint. Dropping it releases the slot without reporting an outcome.
 pub trait Slot: Send + 'static {
-    /// What was granted.
+    /// The grant behind the slot.
     fn grant(&self) -> &Grant;
-    /// Who granted it, for logs.
+    /// Which dispatcher granted the slot, for logs.
     fn granted_by(&self) -> &'static str;
-    /// Reports that the request is stalled while it is still open.
+    /// Reports that the request is stalled. It is still open.
     fn stalled(&mut self, elapsed: Duration);
     /// Reports that a long answer has begun.
     fn answer_began(&mut self, elapsed: Duration);
-    /// Reports what the endpoint says of itself in an answer.
+    /// Reports a notice that the endpoint sent in an answer, such as a rate limit.
     fn noticed(&mut self, notice: Notice);
-    /// Gives the slot back with the way the request ended.
+    /// Releases the slot and reports how the request ended.
     fn end(self, kind: Kind, elapsed: Duration);
 }
 
 /// Hands out slots.
 pub trait Dispatch: Clone + Send + Sync + 'static {
-    /// The slots that it hands out.
+    /// The type of the slots.
     type Slot: Slot;
 
-    /// Tells that a request of `route` was not served by `service`, one of several that the route leads to.
+    /// Reports that `service` did not serve a request of `route`, which is split between several
+    /// services.
     fn unserved(&self, route: &Arc<Route>, service: &Name);
 
-    /// Tells that a request of `route` was refused because its organisation's allowance is used up.
+    /// Reports that a request of `route` was refused because the organisation's allowance is used
+    /// up or unknown.
     fn refused(&self, route: &Arc<Route>);
 
-    /// Finds out whether an organisation with an allowance, known by the hash of its name, may make one more request.
+    /// Takes one request from the allowance of an organisation, which is given by the hash of its
+    /// name.
     fn admit(&self, organisation: u64) -> impl Future<Output = Admission> + Send;
 
-    /// Waits for a slot; dropping the future withdraws the wish.
+    /// Waits for a slot. Dropping the future cancels the request for it.
     fn acquire(&self, want: Want) -> impl Future<Output = Result<Self::Slot, Refused>> + Send;
 }
