--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the proxy itself gives. Each is final and says when to come back.
+//! Answers that the proxy itself generates for requests that it refuses or gives up.
 
 use std::time::Duration;
 
@@ -9,31 +9,32 @@
 
 use crate::body::AnswerOut;
 
-/// On an error: `not-run` if the request certainly did not run, `unknown` if it may have run.
+/// Header of error answers: `not-run` if the request certainly did not run, `unknown` if it may
+/// have run.
 pub const OUTCOME_HEADER: HeaderName = HeaderName::from_static("x-request-outcome");
-/// When to come back to another node.
+/// `retry-after` if another node can probably serve the request.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(250);
-/// When to come back to a node that has just started.
+/// `retry-after` if this node can probably serve the request shortly, as after a start.
 const RETRY_AFTER_START: Duration = Duration::from_millis(500);
 
-/// A request that is given up.
+/// Why a request is given up, and the answer that the caller gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GiveUp {
     status: StatusCode,
-    /// Why, in a word, for metrics.
+    /// Label for metrics.
     pub(crate) cause: &'static str,
-    /// Why, for logs and for the caller.
+    /// Description for logs and for the caller.
     pub(crate) reason: &'static str,
     retry_after: Duration,
 }
 
 impl GiveUp {
-    /// No slot in time; nothing has run.
+    /// No slot became free in time.
     pub(crate) fn overloaded(retry_after: Duration) -> Self {
         Self::not_run_because("no-capacity", "no capacity in time", retry_after)
     }
 
-    /// Endpoints end under such requests, so that this one is not sent.
+    /// Endpoints crashed when they ran identical requests, so the request is not sent.
     pub(crate) fn crashes_endpoints(retry_after: Duration) -> Self {
         let reason = "endpoints crash under this request, and it is not sent for a while";
         Self::not_run_because("crashes-endpoints", reason, retry_after)
@@ -46,63 +47,64 @@
         Self { status: StatusCode::TOO_MANY_REQUESTS, ..it }
     }
 
-    /// What is left of the organisation's allowance cannot be found out.
+    /// The remaining allowance of the organisation cannot be determined.
     pub(crate) fn allowance_unknown() -> Self {
         let reason = "this node cannot ask what is left of the organisation's allowance";
         Self::not_run_because("allowance-unknown", reason, RETRY_ELSEWHERE)
     }
 
-    /// The caller's key was taken away before the request was sent.
+    /// The caller's key was revoked before the request was sent.
     pub(crate) fn key_taken_away() -> Self {
         let reason = "the key was taken away";
         let it = Self::not_run_because("key-taken-away", reason, RETRY_AFTER_START);
         Self { status: StatusCode::UNAUTHORIZED, ..it }
     }
 
-    /// Nothing that was sent has run.
+    /// The request was sent, but no endpoint ran it.
     pub(crate) fn not_run(retry_after: Duration) -> Self {
         let reason = "no upstream took it, and no further send is granted";
         Self::not_run_because("not-taken", reason, retry_after)
     }
 
-    /// This node has more requests than it may hold.
+    /// This node has reached its limit of concurrent requests.
     pub(crate) fn too_many_in_flight() -> Self {
         let reason = "too many requests in flight at this node";
         Self::not_run_because("too-many-in-flight", reason, RETRY_AFTER_START)
     }
 
-    /// This node knows no configuration yet.
+    /// This node has no configuration yet.
     pub(crate) fn no_configuration() -> Self {
         let reason = "this node has no configuration yet";
         Self::not_run_because("no-configuration", reason, RETRY_AFTER_START)
     }
 
-    /// There is no route, or nobody holds the key, but that may differ in a newer configuration.
+    /// The route or key is unknown, but a newer configuration may contain it.
     pub(crate) fn may_be_outdated() -> Self {
         let reason = "neither route nor key known here, and this node may have missed a change of configuration";
         Self::not_run_because("maybe-outdated", reason, RETRY_AFTER_START)
     }
 
-    /// There is no route, or nobody holds the key, but a part of the configuration was left out.
+    /// The route or key is unknown, but invalid resources were left out of the configuration, and
+    /// it may be among them.
     pub(crate) fn may_be_left_out() -> Self {
         let reason =
             "neither route nor key known here, and a part of the configuration cannot be served";
         Self::not_run_because("maybe-left-out", reason, RETRY_AFTER_START)
     }
 
-    /// There is a route, and what the configuration says of it cannot be served.
+    /// The route is suspended because its configuration cannot be served.
     pub(crate) fn suspended() -> Self {
         let reason = "the configuration of this route cannot be served";
         Self::not_run_because("route-suspended", reason, RETRY_AFTER_START)
     }
 
-    /// It may have run.
+    /// The request may have run.
     pub(crate) fn unknown(retry_after: Duration) -> Self {
         let reason = "it may have run: check before you repeat it";
         Self { status: StatusCode::BAD_GATEWAY, cause: "unknown", reason, retry_after }
     }
 
-    /// The deadline passed and it may have run.
+    /// The deadline passed, and the request may have run.
     pub(crate) fn timed_out(retry_after: Duration) -> Self {
         let reason = "late, and it may have run: check before you repeat it";
         Self { status: StatusCode::GATEWAY_TIMEOUT, cause: "timed-out", reason, retry_after }
@@ -116,6 +118,7 @@
         self.status
     }
 
+    /// Value of [`OUTCOME_HEADER`], and label for metrics and logs.
     pub(crate) fn outcome(self) -> &'static str {
         match self.status {
             StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => "unknown",
@@ -123,6 +126,7 @@
         }
     }
 
+    /// The answer to the caller.
     pub(crate) fn response(self) -> Response<AnswerOut> {
         let text = format!("{}: {}; come back after Retry-After\n", self.outcome(), self.reason);
         let mut res = plain(self.status, text.into());
@@ -133,13 +137,14 @@
     }
 }
 
-/// Seconds with a fraction, which callers honour; a whole second would be much of their deadline.
+/// Formats a `retry-after` value with fractional seconds. Callers support fractions; a whole second
+/// would be too large a part of their deadline.
 fn seconds(it: Duration) -> HeaderValue {
     let text = format!("{:.3}", it.as_secs_f64());
     HeaderValue::from_str(&text).expect("digits and a point")
 }
 
-/// A refusal of a request that cannot be understood or matches no route. It was not run.
+/// The answer to a request that is malformed, not authorized or matches no route, and was not run.
 pub(crate) fn refuse(status: StatusCode, text: &'static str) -> Response<AnswerOut> {
     let mut res = plain(status, Bytes::from_static(text.as_bytes()));
     res.headers_mut().insert(OUTCOME_HEADER, HeaderValue::from_static("not-run"));
