--- a/crates/caller/src/body.rs
+++ b/crates/caller/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and answers, buffered or streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -11,17 +11,18 @@
 
 use crate::room::{BodyRoom, Taken};
 
-/// Requests up to this length are held until they are answered, so that they can be sent again.
+/// Request bodies up to this length are always kept until the request is answered, so that it can
+/// be sent again.
 const HOLD_BYTES: usize = 64 * 1024;
-/// The same for longer ones, while the node has room for them.
+/// Request bodies up to this length are kept while the node's memory budget for long bodies allows.
 const HOLD_IN_ROOM_BYTES: usize = 1024 * 1024;
 
-/// Why a body broke off.
+/// Why a body could not be read to its end.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(crate) enum BodyError {
-    #[error("the upstream's answer broke off and could not be continued")]
+    #[error("the upstream's answer was truncated and could not be resumed")]
     Upstream,
-    #[error("the caller's request broke off")]
+    #[error("the caller's request body was truncated")]
     Caller,
     #[error("the request is longer than {0} bytes: raise `traffic.max_body_bytes` or send less")]
     TooLong(u64),
@@ -29,23 +30,24 @@
 
 /// Body of an answer to a caller.
 pub(crate) enum AnswerOut {
-    /// Known whole.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// Still arriving. Only `Part::End` ends it as whole; a channel that closes without it breaks
-    /// the answer off, so that no failure of the relay can pass for an end.
+    /// A body that is still arriving. It is complete only after `Part::End`; a channel that closes
+    /// without it aborts the answer, so that a failure of the relay cannot look like a complete
+    /// answer.
     Stream(mpsc::Receiver<Part>),
 }
 
-/// One step of an answer that is relayed.
+/// A message from the relay to the body of the caller's answer.
 pub(crate) enum Part {
     /// Data or trailers.
     Frame(Frame<Bytes>),
-    /// The answer has arrived whole.
+    /// The answer is complete.
     End,
 }
 
 impl Part {
-    /// Bytes of data in it.
+    /// Number of data bytes.
     pub(crate) fn len(&self) -> u64 {
         match self {
             Self::Frame(frame) => frame.data_ref().map_or(0, |it| it.len() as u64),
@@ -86,17 +88,19 @@
 
 /// Body of a request on its way to an upstream.
 pub(crate) enum RequestOut {
-    /// Held whole; a copy of it costs nothing.
+    /// A complete body. Clones share the buffer.
     Held(Full<Bytes>),
-    /// Passed on as it arrives; it can be sent once.
+    /// A body that is passed on as it arrives. It can be sent only once.
     Stream(StreamOut),
 }
 
-/// The start of a body that was read already, and the rest of it.
+/// A request body that is too long to keep: the start that was already read, and the rest.
 pub(crate) struct StreamOut {
     start: Bytes,
     rest: Incoming,
+    /// Bytes that may still be read from `rest`.
     left: u64,
+    /// Maximum length of the body.
     limit: u64,
 }
 
@@ -130,12 +134,12 @@
 }
 
 impl StreamOut {
-    /// What was read before the first send.
+    /// The part that was read before the send.
     pub(crate) fn start(&self) -> &[u8] {
         &self.start
     }
 
-    /// Bytes that are known to follow, the start included.
+    /// Length of the complete body, if known.
     pub(crate) fn size_hint(&self) -> SizeHint {
         match self.rest.size_hint().exact() {
             Some(n) => SizeHint::with_exact(n + self.start.remaining() as u64),
@@ -165,22 +169,22 @@
     }
 }
 
-/// Answers up to this are held until they have arrived whole, so that one that breaks off can be
-/// asked for again before the caller has seen any of it. The users' archives are a tenth to a half
-/// of it.
+/// Answers up to this length are buffered until they are complete, so that after a truncated one
+/// the request can be sent again before the caller has received any of it. The archives that users
+/// download are a tenth to a half of this length.
 const HOLD_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// The start of an answer.
+/// The buffered start of an answer.
 pub(crate) enum Start<B> {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// More than is held.
+    /// The first bytes of a body that is too long to buffer, and the rest.
     Long(Bytes, B),
 }
 
-/// An answer that is read until it ends or is too long to hold.
+/// Reads an answer until it ends or is too long to buffer.
 pub(crate) struct Reading<B> {
-    /// Nothing once the start was handed out.
+    /// `None` once the start was returned.
     body: Option<B>,
     buf: BytesMut,
 }
@@ -189,13 +193,13 @@
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    /// Begins with `body`.
+    /// Starts to read `body`.
     pub(crate) fn new(body: B) -> Self {
         Self { body: Some(body), buf: BytesMut::new() }
     }
 
-    /// Reads what comes next; returns the start of the answer once that is all that is held of it. Nothing is lost if the
-    /// future is dropped.
+    /// Reads the next frame. Returns the start of the answer once it is complete or too long to
+    /// buffer. Cancel safe.
     pub(crate) async fn step(&mut self) -> Result<Option<Start<B>>, B::Error> {
         let Some(body) = &mut self.body else { return Ok(None) };
         let is_too_long = body.size_hint().lower() > HOLD_ANSWER_BYTES as u64;
@@ -217,18 +221,18 @@
     }
 }
 
-/// A caller's body after its start has been read.
+/// The body of a caller's request after its start, or all of it, has been read.
 pub(crate) enum Received {
-    /// The whole of it, and the room that it takes. Its trailers are dropped.
+    /// The complete body without its trailers, and its share of the memory budget.
     Whole(Bytes, #[expect(dead_code, reason = "gives the room back when it is dropped")] Taken),
-    /// More than is held.
+    /// A body that is too long to keep.
     Long(StreamOut),
-    /// Was passed on and can be sent no more.
+    /// The body was streamed to an endpoint and cannot be sent again.
     Spent,
 }
 
 impl Received {
-    /// Reads a body until it ends or is too long to hold.
+    /// Reads a body until it ends or is too long to keep.
     pub(crate) async fn read(
         mut body: Incoming,
         limit: u64,
@@ -246,7 +250,8 @@
             if buf.len() as u64 > limit {
                 return Err(BodyError::TooLong(limit));
             }
-            // What is known to follow is asked for at once: a body that is held in part takes room in vain.
+            // Memory for the known remainder is reserved at once: a body that gets only a part of
+            // the memory that it needs would occupy that part without any use.
             let whole = buf.len() + body.size_hint().lower() as usize;
             let is_held =
                 whole <= HOLD_BYTES || whole <= HOLD_IN_ROOM_BYTES && room.grow(&mut taken, whole);
@@ -259,7 +264,7 @@
         Ok(Self::Whole(buf.freeze(), taken))
     }
 
-    /// The body for the next send, or nothing if it can be sent no more.
+    /// The body for the next send, or `None` if it cannot be sent again.
     pub(crate) fn next(&mut self) -> Option<RequestOut> {
         if let Self::Whole(it, _) = self {
             return Some(RequestOut::Held(Full::new(it.clone())));
