--- a/crates/caller/src/content.rs
+++ b/crates/caller/src/content.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one.
+//! The key by which nodes recognise identical requests.
 
 use http::{HeaderMap, Method, Uri, header};
 use policy::RequestKey;
@@ -6,10 +6,11 @@
 use crate::body::Received;
 use crate::headers::{self, HeaderNames};
 
-/// The key of a request: of what an endpoint sees of it, without what differs each time it comes (its identity, its
-/// deadline, its trace) and without the caller's address, which changes behind balancers.
+/// Hashes the parts of a request that an endpoint acts on. Parts that differ between repeats of the
+/// same request are left out (its ID, deadline and trace), and so is the caller's address, which
+/// changes behind load balancers.
 ///
-/// Of a body that is too long to be held its start and its length count.
+/// For a body that is too long to keep, only its start and its length are hashed.
 pub(crate) fn request_key(
     names: &HeaderNames,
     method: &Method,
@@ -18,14 +19,15 @@
     body: &Received,
 ) -> RequestKey {
     let mut hasher = blake3::Hasher::new();
-    // Nobody may choose a content that has the key of somebody else's, so the hash is a cryptographic one.
+    // A cryptographic hash, so that a caller cannot construct a request that has the same key as
+    // another caller's request.
     let mut add = |part: &[u8]| {
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     };
     add(method.as_str().as_bytes());
     add(uri.path_and_query().map_or("/", |it| it.as_str()).as_bytes());
-    // Without its port, by which nodes of one VM differ.
+    // Without the port, which differs between nodes on the same VM.
     add(headers::host_of(uri, head).as_bytes());
     for name in [&names.organisation, &header::AUTHORIZATION, &header::RANGE] {
         add(head.get(name).map_or(b"", |it| it.as_bytes()));
