--- a/crates/caller/src/cx.rs
+++ b/crates/caller/src/cx.rs
@@ -1,4 +1,4 @@
-//! What all requests of one listener share.
+//! State shared by all requests of a listener.
 
 use slog::Logger;
 use tokio::sync::watch;
@@ -9,18 +9,18 @@
 use crate::room::BodyRoom;
 use crate::{HeaderNames, Limits, Metrics, Shared};
 
-/// What all requests of one listener share.
+/// State shared by all requests of a listener.
 pub(crate) struct Cx<D> {
     pub(crate) shared: Shared,
     pub(crate) dispatch: D,
     pub(crate) pool: Pool<RequestOut>,
     pub(crate) paths: Paths,
-    /// For long bodies that are held for another send.
+    /// Memory budget for long request bodies that are kept for a repeat.
     pub(crate) room: BodyRoom,
     pub(crate) names: HeaderNames,
     pub(crate) limits: Limits,
     pub(crate) metrics: Metrics,
-    /// Whether a planned stop has begun: answers then ask callers to go elsewhere.
+    /// Whether a planned stop has begun. Answers then ask callers to close the connection.
     pub(crate) draining: watch::Receiver<bool>,
     pub(crate) log: Logger,
 }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,8 +1,8 @@
-//! The listener for callers and the life of a request: route, wait for a slot, send, answer.
+//! The listener for callers and the request path: route, wait for a slot, send, answer.
 //!
-//! Every request ends in one whole answer, in a broken-off answer that the caller can see is broken
-//! off, or in an error that says whether the request ran. This crate must not know how nodes talk
-//! to each other; slots come from a `Dispatch`.
+//! Every request ends in exactly one of three ways: with a complete answer, with a truncated answer
+//! that the caller can recognise as truncated, or with an error that states whether the request may
+//! have run. This crate must not depend on how nodes communicate; slots come from a [`Dispatch`].
 
 mod answer;
 mod attempt;
