--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The life of one request: route, read, send until there is an answer or none can come, answer.
+//! Handles one request from its head to the head of its answer: route, check the allowance, read
+//! the body, send, answer.
 
 use std::sync::Arc;
 
@@ -30,6 +31,7 @@
     res.map(|body| Counted::new(body, guard))
 }
 
+/// Routes the request and returns its answer.
 async fn answer<D: Dispatch>(cx: &Arc<Cx<D>>, req: Request<Incoming>) -> Response<AnswerOut> {
     let started = Instant::now();
     let id = req.headers().get(&cx.names.request_id).cloned();
@@ -66,12 +68,12 @@
     res
 }
 
-/// The version in force, for the log of a request that has found no route in it.
+/// The version of the configuration in force, to log with requests that are not routed.
 fn version<D>(cx: &Cx<D>) -> u64 {
     cx.shared.load().config.version
 }
 
-/// Gives up a request before it has a route.
+/// Gives up a request that is not routed.
 fn give_up_unrouted<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     id: Option<&HeaderValue>,
@@ -83,7 +85,7 @@
     why.response()
 }
 
-/// Takes the request from the allowance of its organisation, before its body is read.
+/// Charges the request to the allowance of its organisation, before the body is read.
 async fn admit<D: Dispatch>(cx: &Arc<Cx<D>>, work: &Work) -> Result<(), GiveUp> {
     if !work.caller.is_limited() {
         return Ok(());
@@ -96,6 +98,7 @@
     }
 }
 
+/// Reads the body and sends the request.
 async fn run<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     mut work: Work,
@@ -120,6 +123,7 @@
     refuse(refused.0, refused.1)
 }
 
+/// Sends a request whose body was read, and records how it ended.
 async fn finish<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Arc<Work>,
@@ -133,13 +137,15 @@
         }
         Err(it) => given_up(cx, work, it, started),
     };
-    // Who uses one of several services judges the others by it too.
+    // The availability target of each service of a split route includes all requests of the route,
+    // also those that went to another of its services.
     if res.status().is_server_error() && !work.route.split.is_empty() {
         cx.dispatch.unserved(&work.route, &work.service);
     }
     res
 }
 
+/// Logs and counts a routed request that is given up, and returns its answer.
 fn given_up<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Work,
@@ -153,7 +159,7 @@
     res
 }
 
-/// Takes note of how a request has ended.
+/// Logs and counts a routed request that has ended.
 fn ended<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     work: &Work,
