--- a/crates/caller/src/headers.rs
+++ b/crates/caller/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that end at each hop, and those that the proxy adds.
+//! Parsing, removal and generation of headers.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use policy::RateLimit;
 use rand::RngExt;
 
-/// Names of the headers that callers and upstreams of a platform agree on.
+/// The header names that a platform's callers and upstreams use.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identity of a request; taken from the caller if present, and echoed by upstreams.
+    /// Request ID. Taken from the caller if present, and echoed by upstreams.
     pub request_id: HeaderName,
-    /// Milliseconds left, told to the upstream and accepted from callers.
+    /// Remaining time in milliseconds. Accepted from callers and sent to upstreams.
     pub deadline: HeaderName,
-    /// Identity of the endpoint that is meant; told to the upstream.
+    /// ID of the endpoint that a request is intended for. Sent to upstreams.
     pub wanted_endpoint: HeaderName,
-    /// Said by an upstream that refused a request before any work on it.
+    /// Set by an upstream that refused a request before it did any work on it.
     pub not_run: HeaderName,
-    /// Requests a second that an upstream in need takes from all nodes together.
+    /// Rate limit of an overloaded upstream, in requests per second from all nodes together.
     pub rate_limit: HeaderName,
-    /// Says `1` where an upstream leaves.
+    /// Set to `1` by an upstream that is about to leave.
     pub leaving: HeaderName,
-    /// The caller's API key; never told to an upstream where keys are asked for.
+    /// The caller's API key. Not passed on to upstreams if keys are required.
     pub api_key: HeaderName,
-    /// Name of the caller's organisation, told to the upstream.
+    /// Name of the caller's organisation. Sent to upstreams.
     pub organisation: HeaderName,
 }
 
-/// W3C trace context.
+/// W3C trace context header.
 pub(crate) const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
@@ -41,7 +41,7 @@
     header::UPGRADE,
 ];
 
-/// Removes the headers that end here, those named by `Connection` included.
+/// Removes the hop-by-hop headers, including those named by `Connection`.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -55,7 +55,7 @@
     }
 }
 
-/// The host that the request names, without its port.
+/// The host of a request in lower case, without the port.
 pub(crate) fn host_of(uri: &Uri, headers: &HeaderMap) -> String {
     let text = match uri.authority() {
         Some(it) => it.as_str(),
@@ -68,21 +68,21 @@
     host.to_ascii_lowercase()
 }
 
-/// The deadline that the caller sent, if it is a number.
+/// The remaining time that the caller sent, if it is a number.
 pub(crate) fn deadline_of(names: &HeaderNames, headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(&names.deadline)?.to_str().ok()?;
     text.parse().ok().map(Duration::from_millis)
 }
 
-/// A header of an upstream that is no number that it may be.
+/// A header of an upstream whose value is not a valid number.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("`{name}: {value:?}` is passed over: an upstream names a number there, 0 or more")]
+#[error("ignored `{name}: {value:?}`: expected a number of 0 or more")]
 pub(crate) struct BadNumber {
     name: HeaderName,
     value: HeaderValue,
 }
 
-/// The number that an upstream names, as what it stands for.
+/// Parses the number in a header and converts it with `meant`. A missing header is no error.
 fn number_of<T>(
     headers: &HeaderMap,
     name: &HeaderName,
@@ -94,7 +94,7 @@
     meant.map(Some).ok_or_else(|| BadNumber { name: name.clone(), value: value.clone() })
 }
 
-/// The rate limit that an upstream names.
+/// The rate limit that an upstream asks for.
 pub(crate) fn rate_limit_of(
     names: &HeaderNames,
     headers: &HeaderMap,
@@ -102,17 +102,17 @@
     number_of(headers, &names.rate_limit, RateLimit::from_per_second)
 }
 
-/// Whether an upstream says that it leaves.
+/// Whether an upstream announces that it is about to leave.
 pub(crate) fn is_leaving(names: &HeaderNames, headers: &HeaderMap) -> bool {
     headers.get(&names.leaving).is_some_and(|it| it.as_bytes().trim_ascii() == b"1")
 }
 
-/// For how long an upstream that turns a request away wants nothing.
+/// The back-off that an upstream asks for when it refuses a request.
 pub(crate) fn rest_of(headers: &HeaderMap) -> Result<Option<Duration>, BadNumber> {
     number_of(headers, &header::RETRY_AFTER, |it| Duration::try_from_secs_f64(it).ok())
 }
 
-/// Identity of a trace and of the span of one hop.
+/// A span of a distributed trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Span {
     pub(crate) trace: u128,
@@ -121,25 +121,26 @@
 }
 
 impl Span {
-    /// A span for this hop, below the one in `traceparent` if that is well formed.
+    /// A new span, a child of the one in `traceparent` if that header is valid.
     pub(crate) fn of(headers: &HeaderMap) -> Self {
         let parent = headers.get(TRACEPARENT).and_then(|it| it.to_str().ok()).and_then(parse);
         let (trace, parent) = parent.unwrap_or_else(|| (rand::rng().random(), 0));
         Self { trace, parent, id: rand::rng().random() }
     }
 
-    /// A span below this one.
+    /// A new child span.
     pub(crate) fn child(&self) -> Self {
         Self { trace: self.trace, parent: self.id, id: rand::rng().random() }
     }
 
-    /// The header that tells the next hop of this span.
+    /// The `traceparent` value that makes this span the parent at the next hop.
     pub(crate) fn header(&self) -> HeaderValue {
         let text = format!("00-{:032x}-{:016x}-01", self.trace, self.id);
         HeaderValue::from_str(&text).expect("hexadecimal digits and hyphens")
     }
 }
 
+/// Parses the trace and span IDs of a `traceparent` value.
 fn parse(text: &str) -> Option<(u128, u64)> {
     let mut parts = text.split('-');
     let (version, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
