--- a/crates/caller/src/identity.rs
+++ b/crates/caller/src/identity.rs
@@ -1,7 +1,7 @@
-//! Whose a request is: the organisation that holds the caller's key.
+//! Identifies the organisation of a request by the caller's API key.
 //!
-//! What callers write about their organisation never reaches an endpoint where keys are asked for: the key itself stays
-//! here, and the organisation's name is put in its place.
+//! If keys are required, the organisation header of the caller is never passed on to an endpoint:
+//! the key is removed, and the header is set to the name of the organisation that holds the key.
 
 use std::sync::Arc;
 
@@ -11,35 +11,35 @@
 
 use crate::headers::HeaderNames;
 
-/// Longest key that is looked up, in bytes.
+/// Maximum length of a key in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// Who makes a request.
+/// The caller of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Caller {
-    /// Nothing where nobody asks.
+    /// `None` for anonymous callers, and for names that the configuration does not list.
     organisation: Option<Arc<Organisation>>,
-    /// The key that it showed.
+    /// The key that the caller presented, if keys are required.
     key: Option<KeyDigest>,
-    /// Hash of the organisation's name, also of one that no document lists.
+    /// Hash of the organisation's name, even if the configuration does not list the organisation.
     pub(crate) hash: u64,
 }
 
-/// Why a caller is turned away.
+/// Why a caller is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Denied {
-    /// It shows no key where one is needed.
+    /// The request has no key, but one is required.
     NoKey,
-    /// Nobody holds the key.
+    /// No organisation holds the key.
     UnknownKey,
-    /// It shows several keys.
+    /// The request has several keys.
     SeveralKeys,
-    /// What it shows can be no key.
+    /// The key is too long or not ASCII.
     Malformed,
 }
 
 impl Denied {
-    /// The answer's status.
+    /// Status of the answer.
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::NoKey | Self::UnknownKey => StatusCode::UNAUTHORIZED,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What the caller is told.
+    /// Body of the answer.
     pub(crate) fn text(self) -> &'static str {
         match self {
             Self::NoKey => "no key: send the API key of your organisation\n",
@@ -67,14 +67,14 @@
         }
     }
 
-    /// Whether a newer configuration may let the caller in.
+    /// Whether a newer configuration may accept the caller.
     pub(crate) fn depends_on_configuration(self) -> bool {
         matches!(self, Self::NoKey | Self::UnknownKey)
     }
 }
 
 impl Caller {
-    /// Finds out who makes a request of a route.
+    /// Identifies the caller of a request. Public routes also accept anonymous callers.
     pub(crate) fn of(
         callers: &Callers,
         route: &Route,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Where access is open callers say who they are.
+    /// Identifies the caller by the organisation header. Used if no keys are required.
     fn by_name(callers: &Callers, names: &HeaderNames, headers: &HeaderMap) -> Self {
         let name = headers.get(&names.organisation).and_then(|it| it.to_str().ok()).unwrap_or("");
         let organisation = callers.by_name(name).cloned();
@@ -123,23 +123,24 @@
         self.organisation.as_ref().map_or(&[], |it| &it.regions)
     }
 
-    /// Which of its work goes first, if that does not depend on the route.
+    /// Priority of the organisation's requests, if it overrides the priority of the route.
     pub(crate) fn priority(&self) -> Option<Priority> {
         self.organisation.as_ref()?.priority
     }
 
-    /// Whether it may make a limited number of requests.
+    /// Whether the organisation has an allowance.
     pub(crate) fn is_limited(&self) -> bool {
         self.organisation.as_ref().is_some_and(|it| it.allowance().is_some())
     }
 
-    /// Whether its key is still held by the same organisation. Nothing is sent under a key that was taken away.
+    /// Whether the caller's key still belongs to the same organisation. Nothing is sent with a
+    /// revoked key.
     pub(crate) fn is_known_to(&self, callers: &Callers) -> bool {
         let Some(key) = self.key else { return true };
         callers.by_key(key).is_some_and(|it| it.name == self.name())
     }
 
-    /// Puts the organisation's name in place of what the caller has written.
+    /// Removes the key from the headers and sets the organisation header, if keys are required.
     pub(crate) fn introduce(&self, callers: &Callers, names: &HeaderNames, out: &mut HeaderMap) {
         if !callers.need_keys() {
             return;
@@ -154,7 +155,7 @@
     }
 }
 
-/// The key that a request shows.
+/// The key that a request presents.
 fn key_of(names: &HeaderNames, headers: &HeaderMap) -> Result<KeyDigest, Denied> {
     let mut shown = headers.get_all(&names.api_key).iter();
     let Some(key) = shown.next() else { return Err(Denied::NoKey) };
--- a/crates/caller/src/tests/identity.rs
+++ b/crates/caller/src/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, by what its caller shows.
+//! Identification of callers by their keys or organisation headers.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use resources::{Access, Callers, Config, Document};
@@ -28,7 +28,7 @@
     map
 }
 
-/// The organisation of a request, or why it is turned away, and what the endpoint is told.
+/// Checks the organisation of a request, or why it is rejected, and the headers for the endpoint.
 fn check(
     config: &Config,
     path: &str,
@@ -58,7 +58,7 @@
     check(&config, "/c", &[("x-key", b"key-a"), ("x-key", b"key-a")], Err(Denied::SeveralKeys));
     check(&config, "/c", &[("x-key", &[b'k'; 8_192])], Err(Denied::Malformed));
     check(&config, "/c", &[("x-key", b"k\xc3\xa9y")], Err(Denied::Malformed));
-    // On a public route a key that is held still says whose the request is.
+    // On a public route a valid key still identifies the caller.
     check(&config, "/o", &[forged], Ok(""));
     check(&config, "/o", &[("x-key", b"key-b")], Ok(""));
     check(&config, "/o", &[("x-key", b"key-a")], Ok("a"));
