--- a/crates/caller/src/in_flight.rs
+++ b/crates/caller/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! Requests in flight, counted from the head of the request to the end of the answer's body.
+//! The gauge of requests in flight. A request counts from the arrival of its head to the end of the
+//! answer's body.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,13 +10,13 @@
 use crate::Metrics;
 use crate::body::{AnswerOut, BodyError};
 
-/// An answer that counts as in flight until its body has ended.
+/// The body of an answer; its request counts as in flight until the body is dropped.
 pub(crate) struct Counted {
     body: AnswerOut,
     _guard: InFlight,
 }
 
-/// One request in flight; it ends when this is dropped.
+/// Counts one request as in flight until it is dropped.
 pub(crate) struct InFlight(Metrics);
 
 impl Counted {
--- a/crates/caller/src/paths.rs
+++ b/crates/caller/src/paths.rs
@@ -1,4 +1,4 @@
-//! Endpoints that this node could not reach a moment ago, though others may.
+//! Endpoints that this node recently failed to connect to. Other nodes may still reach them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 use parking_lot::Mutex;
 use rustc_hash::FxHashMap;
 
-/// A path that failed is avoided for this long. Cuts of single paths last for seconds, and trying
-/// again costs one connection that does not come up.
+/// How long an endpoint is avoided after a failed connection. Network failures between two hosts
+/// last for seconds, and an early retry costs no more than one failed connection.
 const AVOID_FOR: Duration = Duration::from_secs(3);
-/// Most endpoints named to a dispatcher, so that an ask fits its frame.
+/// Maximum number of endpoints to avoid in one `Ask`, so that it fits into a frame.
 pub(crate) const MAX_AVOIDED: usize = 16;
 
-/// Paths of this node that failed lately.
+/// Addresses that this node recently failed to connect to.
 #[derive(Debug, Default)]
 pub(crate) struct Paths {
     failed: Mutex<FxHashMap<SocketAddr, Moment>>,
 }
 
 impl Paths {
-    /// Records that no connection came up.
+    /// Records a failed connection.
     pub(crate) fn failed(&self, addr: SocketAddr) {
         self.failed.lock().insert(addr, Moment::now());
     }
 
-    /// Records that an answer came.
+    /// Records an answer.
     pub(crate) fn works(&self, addr: SocketAddr) {
         self.failed.lock().remove(&addr);
     }
 
-    /// The endpoints to avoid: those in `tried` and those that could not be reached lately.
+    /// The endpoints to avoid: those in `tried` and those with a recent connection failure.
     pub(crate) fn avoided(&self, tried: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut failed = self.failed.lock();
         failed.retain(|_, at| at.elapsed() < AVOID_FOR);
--- a/crates/caller/src/room.rs
+++ b/crates/caller/src/room.rs
@@ -1,21 +1,21 @@
-//! Memory for long bodies that are held for another send, bounded over all requests of a node.
+//! The memory budget of a node for long request bodies that are kept for a repeat.
 
 use std::sync::Arc;
 
 use prometheus::IntGauge;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Room is handed out in pieces of this many bytes.
+/// Granularity of reservations in bytes.
 const PIECE: usize = 16 * 1024;
 
-/// The room of one node.
+/// The memory budget of a node.
 pub(crate) struct BodyRoom {
     free: Arc<Semaphore>,
-    /// Bytes in use.
+    /// Number of reserved bytes.
     used: IntGauge,
 }
 
-/// Room of one body, given back when it is dropped.
+/// The reservation of one body, released on drop.
 #[derive(Default)]
 pub(crate) struct Taken {
     pieces: Option<OwnedSemaphorePermit>,
@@ -23,12 +23,12 @@
 }
 
 impl BodyRoom {
-    /// Room for so many bytes.
+    /// A budget of `bytes`, rounded down to whole pieces; `used` shows the reserved part.
     pub(crate) fn new(bytes: usize, used: IntGauge) -> Self {
         Self { free: Arc::new(Semaphore::new(bytes / PIECE)), used }
     }
 
-    /// Makes `taken` large enough for `bytes`; false if there is no room for that.
+    /// Grows `taken` to at least `bytes`. Returns false if the budget is too small.
     pub(crate) fn grow(&self, taken: &mut Taken, bytes: usize) -> bool {
         let has = taken.pieces.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
         let lacks = bytes.div_ceil(PIECE).saturating_sub(has);
