--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers over HTTP/1.1 and HTTP/2, and drains them at a planned stop.
+//! Accepts connections from callers over HTTP/1.1 and HTTP/2, and drains them at a planned stop.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,18 +20,19 @@
 use crate::room::BodyRoom;
 use crate::{Dispatch, HeaderNames, Metrics, Shared};
 
-/// Bounds on what callers may send.
+/// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest request body in bytes.
+    /// Maximum length of a request body in bytes. The configuration may set a lower one.
     pub max_body_bytes: u64,
-    /// Time for the part of a body that is read before it is sent.
+    /// Time limit for reading the part of a request body that is read before the first send.
     pub read_timeout: Duration,
-    /// Requests in flight; further ones are refused at once.
+    /// Maximum number of requests in flight. Further ones are refused at once.
     pub max_in_flight: usize,
-    /// Time for a new connection to an upstream.
+    /// Time limit for a new connection to an upstream.
     pub connect_timeout: Duration,
-    /// Memory for long bodies that are held for another send, in bytes; others are passed on as they arrive.
+    /// Memory budget in bytes for long request bodies that are kept for a repeat. Bodies that do
+    /// not fit are streamed.
     pub held_body_bytes: usize,
 }
 
@@ -47,20 +48,20 @@
     }
 }
 
-/// Pause after an accept that failed, as when descriptors run out.
+/// Delay after a failed accept, as when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Least size of a connection's buffer that hyper takes.
+/// Smallest connection buffer size that hyper accepts.
 const MIN_BUF_BYTES: usize = 8 * 1024;
-/// Requests on one HTTP/2 connection at once.
+/// Maximum number of concurrent requests on an HTTP/2 connection.
 const MAX_STREAMS: u32 = 256;
 
-/// Builds a `Listener`.
+/// Builds a [`Listener`].
 pub struct ListenerBuilder<D> {
     cx: Cx<D>,
 }
 
 impl<D: Dispatch> ListenerBuilder<D> {
-    /// A listener that serves what `shared` holds with slots from `dispatch`.
+    /// A listener that serves the configuration in `shared` with slots from `dispatch`.
     pub fn new(shared: Shared, dispatch: D, names: HeaderNames, metrics: Metrics) -> Self {
         let limits = Limits::default();
         let cx = Cx {
@@ -78,19 +79,19 @@
         Self { cx }
     }
 
-    /// Logs to `log`; without it nothing is logged.
+    /// Sets the logger. By default nothing is logged.
     pub fn log(mut self, log: Logger) -> Self {
         self.cx.log = log;
         self
     }
 
-    /// From when this turns true, answers ask callers to go elsewhere.
+    /// Once `draining` is true, answers ask callers to close the connection.
     pub fn draining(mut self, draining: watch::Receiver<bool>) -> Self {
         self.cx.draining = draining;
         self
     }
 
-    /// Sets the bounds on what callers may send.
+    /// Sets the limits.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.cx.pool = Pool::new(limits.connect_timeout);
         self.cx.room =
@@ -105,19 +106,20 @@
     }
 }
 
-/// Accepts callers.
+/// A bound socket that accepts connections from callers.
 pub struct Listener<D> {
     tcp: TcpListener,
     cx: Arc<Cx<D>>,
 }
 
 impl<D: Dispatch> Listener<D> {
-    /// The address that is listened on.
+    /// The local address.
     pub fn addr(&self) -> std::io::Result<SocketAddr> {
         self.tcp.local_addr()
     }
 
-    /// Serves until `stop` turns true, then stops to accept and lets every request in flight end.
+    /// Serves until `stop` is true, then stops accepting connections and waits for the requests in
+    /// flight.
     pub async fn serve(self, mut stop: watch::Receiver<bool>) {
         let graceful = GracefulShutdown::new();
         loop {
@@ -138,6 +140,7 @@
         graceful.shutdown().await;
     }
 
+    /// Spawns a task that serves one connection.
     fn spawn(&self, stream: TcpStream, graceful: &GracefulShutdown) {
         let _ = stream.set_nodelay(true);
         let cx = self.cx.clone();
@@ -150,7 +153,7 @@
         builder
             .http1()
             .timer(TokioTimer::new())
-            // The rest between two requests counts as time for the next head.
+            // hyper applies this timeout also to the idle time between two requests.
             .header_read_timeout(limits.next_head())
             .max_buf_size(limits.head_bytes.max(MIN_BUF_BYTES));
         builder
@@ -163,7 +166,7 @@
         let log = self.cx.log.clone();
         tokio::spawn(async move {
             if let Err(error) = conn.await {
-                debug!(log, "a caller's connection broke"; "error" => %error);
+                debug!(log, "caller connection failed"; "error" => %error);
             }
         });
     }
