--- a/crates/caller/src/metrics.rs
+++ b/crates/caller/src/metrics.rs
@@ -1,38 +1,39 @@
-//! Counters of the request path. Labels are bounded: none grows with endpoints or routes.
+//! Metrics of the request path. The number of label values does not depend on the number of
+//! endpoints or routes.
 
 use prometheus::{
     Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
 };
 
-/// Counters of the request path.
+/// Metrics of the request path.
 #[derive(Clone)]
 pub struct Metrics {
-    /// Requests by how they ended.
+    /// Requests by outcome.
     pub requests: IntCounterVec,
-    /// Requests that got no answer of an upstream, by why.
+    /// Requests that were given up without an answer from an endpoint, by cause.
     pub given_up: IntCounterVec,
-    /// Callers that were turned away, by why.
+    /// Requests rejected because their caller is not authorized, by reason.
     pub denied: IntCounterVec,
-    /// Sends to upstreams by how they ended.
+    /// Sends to endpoints by outcome.
     pub sends: IntCounterVec,
-    /// First sends of a request that met a full endpoint.
+    /// First sends of a request that an endpoint refused before running it.
     pub first_shed: IntCounter,
-    /// Second sends beside a late first one.
+    /// Hedged sends.
     pub hedges: IntCounter,
-    /// Downloads continued on another endpoint.
+    /// Downloads resumed on another endpoint.
     pub resumes: IntCounter,
     /// Requests in flight.
     pub in_flight: IntGauge,
-    /// Room that long bodies take which are held for another send, in bytes.
+    /// Memory used by long request bodies that are kept for a repeat, in bytes.
     pub held_body_bytes: IntGauge,
-    /// Time from a request's head to its answer by how it ended, in seconds.
+    /// Time from a request's head to the head of its answer by outcome, in seconds.
     pub latency: HistogramVec,
-    /// Time from a request's head to its slot, in seconds.
+    /// Time that a send waits for its slot, in seconds.
     pub slot_wait: Histogram,
 }
 
 impl Metrics {
-    /// Registers the counters.
+    /// Creates the metrics and registers them.
     pub fn register(registry: &Registry) -> prometheus::Result<Self> {
         let counter = |name: &str, help: &str| IntCounter::new(name, help);
         let by = |name: &str, help: &str| IntCounterVec::new(Opts::new(name, help), &["outcome"]);
@@ -40,33 +41,36 @@
             .buckets(prometheus::exponential_buckets(0.00005, 2.0, 16)?);
         let latency = HistogramOpts::new(
             "dappleway_request_seconds",
-            "Time from a request's head to its answer by how it ended.",
+            "Time from a request's head to the head of its answer by outcome.",
         )
         .buckets(prometheus::exponential_buckets(0.001, 2.0, 14)?);
         let it = Self {
-            requests: by("dappleway_requests_total", "Requests by how they ended.")?,
+            requests: by("dappleway_requests_total", "Requests by outcome.")?,
             given_up: IntCounterVec::new(
                 Opts::new(
                     "dappleway_given_up_total",
-                    "Requests that got no answer of an upstream, by why.",
+                    "Requests given up without an answer from an endpoint, by cause.",
                 ),
                 &["cause"],
             )?,
             denied: IntCounterVec::new(
-                Opts::new("dappleway_denied_total", "Callers that were turned away, by why."),
+                Opts::new(
+                    "dappleway_denied_total",
+                    "Requests rejected because their caller is not authorized, by reason.",
+                ),
                 &["why"],
             )?,
-            sends: by("dappleway_sends_total", "Sends to upstreams by how they ended.")?,
+            sends: by("dappleway_sends_total", "Sends to endpoints by outcome.")?,
             first_shed: counter(
                 "dappleway_first_sends_shed_total",
-                "First sends that met a full endpoint.",
+                "First sends that an endpoint refused before running them.",
             )?,
             hedges: counter("dappleway_hedges_total", "Hedged sends.")?,
-            resumes: counter("dappleway_resumes_total", "Downloads continued elsewhere.")?,
+            resumes: counter("dappleway_resumes_total", "Downloads resumed on another endpoint.")?,
             in_flight: IntGauge::new("dappleway_requests_in_flight", "Requests in flight.")?,
             held_body_bytes: IntGauge::new(
                 "dappleway_held_body_bytes",
-                "Room that long bodies take which are held for another send.",
+                "Memory used by long request bodies that are kept for a repeat.",
             )?,
             latency: HistogramVec::new(latency, &["outcome"])?,
             slot_wait: Histogram::with_opts(wait)?,
