--- a/crates/caller/src/notice.rs
+++ b/crates/caller/src/notice.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself in the head of an answer.
+//! Notices that an endpoint sends about itself in the headers of an answer.
 
 use http::{Response, StatusCode};
 use policy::Notice;
@@ -7,13 +7,14 @@
 use crate::open::Open;
 use crate::{Dispatch, headers, trace};
 
-/// Tells of what the endpoint says of itself. A misdirected request was answered by another endpoint.
+/// Reports the notices in an answer. An answer 421 is ignored: a different endpoint sent it.
 pub(crate) fn hear<D: Dispatch, B>(cx: &Cx<D>, open: &mut Open<D::Slot>, res: &Response<B>) {
     if res.status() == StatusCode::MISDIRECTED_REQUEST {
         return;
     }
     match headers::rate_limit_of(&cx.names, res.headers()) {
-        // A failure may come without the headers that the endpoint's work sets.
+        // The missing header of an error answer does not lift a rate limit: the error may occur
+        // before the endpoint sets its headers.
         Ok(None) if res.status().is_server_error() => {}
         Ok(limit) => open.noticed(Notice::RateLimit(limit)),
         Err(e) => trace::bad_answer(&cx.log, &open.grant().endpoint, &e),
--- a/crates/caller/src/snapshot.rs
+++ b/crates/caller/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What traffic threads read: the configuration in force, swapped as a whole without a lock.
+//! The configuration in force, which traffic threads read without a lock.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -7,27 +7,29 @@
 use resources::{Config, Name, Route};
 use rustc_hash::FxHashMap;
 
-/// The fractional part of the golden ratio, as a fraction of 2⁶⁴: multiples of it are spread evenly,
-/// so that the parts of a split are kept over any stretch of requests.
+/// The fractional part of the golden ratio, scaled to 2⁶⁴. Its multiples modulo 2⁶⁴ are evenly
+/// distributed, so that the shares of a split hold over any short sequence of requests.
 const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// One configuration, and where each split route stands in its sequence.
+/// A configuration, and the position of each split route in its sequence.
 #[derive(Debug, Default)]
 pub struct Snapshot {
     /// The configuration in force.
     pub config: Config,
+    /// By the names of the routes. Each position starts at random and advances with every request.
     turns: FxHashMap<Name, AtomicU64>,
 }
 
 impl Snapshot {
-    /// A configuration that has come into force.
+    /// A snapshot of `config` with random start positions.
     pub fn new(config: Config) -> Self {
         let split = config.routes.iter().filter(|it| !it.split.is_empty());
         let turns = split.map(|it| (it.name.clone(), AtomicU64::new(rand::random()))).collect();
         Self { config, turns }
     }
 
-    /// The service for the next request of a route.
+    /// Picks the service for the next request of a route, in proportion to the weights of its
+    /// split.
     pub(crate) fn pick_service(&self, route: &Route) -> Name {
         let turn = match self.turns.get(&route.name) {
             Some(it) => it.fetch_add(GOLDEN, Ordering::Relaxed),
@@ -45,7 +47,7 @@
     }
 }
 
-/// The snapshot that all threads share.
+/// The current snapshot, shared by all threads.
 #[derive(Clone, Debug, Default)]
 pub struct Shared {
     current: Arc<ArcSwap<Snapshot>>,
@@ -63,11 +65,12 @@
         self.current.store(Arc::new(Snapshot::new(config)));
     }
 
-    /// Says whether the configuration is surely the newest but for a moment.
+    /// Sets whether the configuration was recently confirmed to be the newest.
     pub fn set_fresh(&self, is_fresh: bool) {
         self.is_fresh.store(is_fresh, Ordering::Release);
     }
 
+    /// Whether the configuration was recently confirmed to be the newest.
     pub(crate) fn is_fresh(&self) -> bool {
         self.is_fresh.load(Ordering::Acquire)
     }
