--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -1,5 +1,5 @@
-//! Log records of the request path: one line for each request, at debug level one for each send.
-//! Values are formatted only if the record is logged.
+//! Log records of the request path: one line per request, and one per send (at debug level for
+//! sends that were answered). Values are formatted only if the record is logged.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::headers::{BadNumber, HeaderNames, Span};
 use crate::work::Work;
 
-/// Logs a request that has ended, at warning level if it failed.
+/// Logs a request that has ended, at warning level after a server error.
 pub(crate) fn request(
     log: &Logger,
     names: &HeaderNames,
@@ -33,14 +33,14 @@
                 "ms" => elapsed.as_millis() as u64)
         };
     }
-    // The severity decides what is left out when there are too many lines: failures last.
+    // If the limit of log lines is exceeded, lines of low severity are dropped first.
     match status.is_server_error() {
         true => record!(warn),
         false => record!(info),
     }
 }
 
-/// Logs a request that is refused before it is sent.
+/// Logs a request that is refused before any send.
 pub(crate) fn refused(
     log: &Logger,
     id: Option<&HeaderValue>,
@@ -53,7 +53,7 @@
         "request_id" => id, "config" => version, "status" => status.as_u16(), "reason" => why);
 }
 
-/// One send that has ended.
+/// A send that has ended.
 pub(crate) struct Send<'a> {
     pub(crate) span: &'a Span,
     pub(crate) endpoint: &'a str,
@@ -64,7 +64,8 @@
     pub(crate) elapsed: Duration,
 }
 
-/// Logs one send; one that was answered only at debug level, since its request is logged too.
+/// Logs a send. A send that was answered is logged only at debug level, because its request is
+/// logged as well.
 pub(crate) fn send(log: &Logger, names: &HeaderNames, work: &Work, it: &Send<'_>) {
     macro_rules! record {
         ($level:ident) => {
@@ -83,18 +84,18 @@
     }
 }
 
-/// Logs a part of an answer that cannot be read.
+/// Logs an invalid header of an answer.
 pub(crate) fn bad_answer(log: &Logger, endpoint: &str, error: &BadNumber) {
-    warn!(log, "answer unreadable in part"; "endpoint" => endpoint, "error" => %error);
+    warn!(log, "invalid header in an answer"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// Logs that a long answer goes on from another endpoint.
+/// Logs that a download was resumed on another endpoint.
 pub(crate) fn continued<D>(cx: &Cx<D>, work: &Work, endpoint: &str, sent: u64) {
-    info!(cx.log, "download continued"; "request_id" => work.request_id(&cx.names),
+    info!(cx.log, "download resumed"; "request_id" => work.request_id(&cx.names),
         "endpoint" => endpoint, "sent_bytes" => sent);
 }
 
-/// Logs that a long answer ends before it is whole, which the caller sees.
+/// Logs that a download was aborted before it was complete. The caller sees the truncation.
 pub(crate) fn broken_off<D>(
     cx: &Cx<D>,
     work: &Work,
@@ -112,6 +113,7 @@
         "outcome" => why.outcome(), "left_ms" => work.left().as_millis() as u64);
 }
 
+/// Formats an ID with 16 hexadecimal digits.
 struct Hex64(u64);
 
 impl fmt::Display for Hex64 {
@@ -120,6 +122,7 @@
     }
 }
 
+/// Formats an ID with 32 hexadecimal digits.
 struct Hex128(u128);
 
 impl fmt::Display for Hex128 {
