--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -115,11 +115,13 @@
     let route = snapshot.config.routes.iter().next().unwrap().clone();
     for _ in 0..50 {
         let to_b = (0..100).filter(|_| snapshot.pick_service(&route) == "b").count();
-        assert!((8..=12).contains(&to_b), "{to_b} of 100 went to the part of 10");
+        assert!((8..=12).contains(&to_b), "{to_b} of 100 went to the share of 10");
     }
 }
 
-/// An endpoint that stopped at a short deadline, and said so a moment before it, was taken for sick.
+/// An endpoint that answers 504 just before the deadline has stopped on time. Such answers must not
+/// count as failures, which would make a healthy endpoint look unhealthy on routes with short
+/// deadlines.
 #[test]
 fn the_end_of_the_deadline_is_no_fault_of_the_endpoint() {
     let check = |status, left_ms, expected| {
--- a/crates/caller/tests/bed/mod.rs
+++ b/crates/caller/tests/bed/mod.rs
@@ -1,4 +1,4 @@
-//! A listener in front of one endpoint, with slots from a test.
+//! Runs a listener with slots from the test's own dispatch.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     {"kind": "Route", "name": "r", "path": "/", "service": "s", "deadline_ms": 5000, "repeat": "anytime"}
 ]}"#;
 
-/// A slot on the endpoint at `addr`.
+/// A grant of a slot on the endpoint at `addr`.
 pub fn grant(addr: SocketAddr) -> Grant {
     Grant {
         endpoint: "e".into(),
@@ -33,7 +33,7 @@
     }
 }
 
-/// Sends one request to a listener that takes its slots from `dispatch`, and returns all that comes back.
+/// Sends a request to a listener that takes its slots from `dispatch`, and returns the raw answer.
 pub async fn request(dispatch: impl Dispatch) -> String {
     let shared = Shared::default();
     shared.publish(Config::compile(serde_json::from_str(CONFIG).unwrap()).unwrap());
@@ -56,7 +56,7 @@
     tokio::spawn(listener.serve(stopped));
     stream.write_all(b"GET / HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n").await.unwrap();
     let mut answer = String::new();
-    // An answer that breaks off is looked at as far as it came.
+    // A truncated answer is returned as far as it was received.
     let _ = stream.read_to_string(&mut answer).await;
     answer
 }
--- a/crates/caller/tests/suspended.rs
+++ b/crates/caller/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! A request whose time passed while the machine was suspended is not sent.
+//! A request whose deadline passed while the VM was suspended is not sent.
 
 mod bed;
 
@@ -10,7 +10,7 @@
 use resources::{Name, Route};
 use tokio::net::TcpListener;
 
-/// Grants a slot after a suspension of the machine that is longer than any caller waits.
+/// Grants a slot after a simulated suspension of the VM that is longer than any deadline.
 #[derive(Clone)]
 struct Suspended(Grant);
 
@@ -57,7 +57,7 @@
     let grant = bed::grant(endpoint.local_addr().unwrap());
     let answer = tokio::select! {
         it = bed::request(Suspended(grant)) => it,
-        _ = endpoint.accept() => panic!("it is sent after its time"),
+        _ = endpoint.accept() => panic!("the request was sent after its deadline"),
     };
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("not-run"), "{answer}");
--- a/crates/caller/tests/travelling.rs
+++ b/crates/caller/tests/travelling.rs
@@ -1,4 +1,4 @@
-//! What is told of a slot while the answer travels.
+//! Reports to dispatch about a slot while its answer is in transit.
 
 mod bed;
 
@@ -13,11 +13,11 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Grants one slot and records what is told of it.
+/// Grants slots and records the reports about them.
 #[derive(Clone)]
 struct Recorder {
     grant: Grant,
-    /// Slots for further sends are granted too.
+    /// Whether slots for further sends are granted too.
     grants_further: bool,
     told: Arc<Mutex<Vec<String>>>,
 }
@@ -74,12 +74,13 @@
     }
 }
 
-/// An endpoint sends parts of an answer with pauses between them and closes the connection.
+/// Checks the reports about an endpoint that sends an answer in parts, with pauses between them,
+/// and closes the connection.
 async fn check(parts: &[&'static str], pause: Duration, expect: Expect) {
     check_with(|it| it, parts, pause, expect).await;
 }
 
-/// The same with an endpoint that is taken for one under a rate limit.
+/// Like `check`, with an endpoint that is known to have a rate limit.
 async fn check_limited(parts: &[&'static str], pause: Duration, expect: Expect) {
     check_with(|it| Grant { is_rate_limited: true, ..it }, parts, pause, expect).await;
 }
@@ -109,7 +110,7 @@
         _ = bed::request(recorder.clone()) => {}
         () = answering => {}
     }
-    // The caller may have left first.
+    // All reports have been made once the caller's connection has ended.
     let told = recorder.told.lock().unwrap().join(" ");
     expect.assert_eq(&told);
 }
@@ -187,7 +188,7 @@
     let bodies = [vec![b'.'; total - 1], vec![b'.']];
     let answering = async {
         for (head, body) in answers.iter().zip(bodies) {
-            // A connection without a request looks whether the endpoint has ended.
+            // A connection without a request only checks whether the process has ended.
             let mut stream = loop {
                 let (mut stream, _) = endpoint.accept().await.unwrap();
                 if stream.read(&mut [0; 4096]).await.unwrap() > 0 {
