--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/answer.rs
@@ -1,5 +1,5 @@
-//! The body of an answer. Its connection goes back to the pool only when the body has ended whole;
-//! after a late, cancelled or broken exchange the connection is closed.
+//! The body of an answer. Its connection returns to the pool only after the complete body was read.
+//! After a timeout, a cancellation or an error the connection is closed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -10,8 +10,8 @@
 
 use crate::pool::KeptConnection;
 
-/// Body of an answer; hyper checks its length or final chunk. One without either ends with its
-/// connection: cleanly if it is whole, by a reset if it is not.
+/// The body of an answer. hyper checks its length or its final chunk. A body with neither ends with
+/// its connection: a clean close means that the body is complete, a reset that it is truncated.
 pub struct AnswerBody<B>
 where
     B: Body<Data = Bytes> + Send + Unpin + 'static,
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,7 +1,8 @@
-//! Connections to upstream endpoints and sends over them.
+//! A connection pool for upstream endpoints.
 //!
-//! A send says exactly how far the request got, because the rule "at most once" rests on it. This
-//! crate must not know why an endpoint was chosen and never sends a request twice on its own.
+//! A failed send states whether any part of the request was written, because at-most-once delivery
+//! depends on it. This crate must not know why an endpoint was chosen, and never repeats a request
+//! that may have been written.
 
 mod answer;
 mod pool;
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -1,5 +1,5 @@
-//! A pool of HTTP/1.1 connections per endpoint. HTTP/1.1 is enough here: an endpoint has few slots,
-//! and one request per connection lets a cancellation close exactly that request.
+//! A pool of HTTP/1.1 connections per endpoint. HTTP/1.1 suffices because an endpoint has few
+//! slots, and with one request per connection, closing the connection cancels exactly that request.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -19,59 +19,63 @@
 
 use crate::AnswerBody;
 
-/// Idle connections kept per endpoint.
+/// Maximum number of idle connections per endpoint.
 const MAX_IDLE: usize = 32;
-/// Idle connections older than this are closed, before a usual upstream would close them: a request
-/// that meets a closing connection ends as unknown.
+/// Maximum idle time of a connection. It is shorter than the idle timeout of typical upstreams,
+/// because the outcome of a request is unknown if the upstream closes the connection at the same
+/// moment.
 const IDLE_LIFETIME: Duration = Duration::from_secs(7);
 
-/// Part of the time that an endpoint says it keeps idle connections for which they are used. The
-/// users' endpoints say ten seconds in whole ones.
+/// Idle connections are used for this fraction of the time that the endpoint announces in
+/// `Keep-Alive`. Existing endpoints announce ten seconds, in whole seconds.
 const KEEP_ALIVE_PART: f64 = 0.7;
 
-/// Time for an endpoint whose connection broke to accept another one. The answer of one that has ended comes within a
-/// round trip; one that is cut off says nothing, and the caller waits meanwhile.
+/// Time limit of the check whether an endpoint's process has ended. A host whose process has ended
+/// refuses the connection within a round trip; a host that is cut off does not answer at all, and
+/// the caller waits meanwhile.
 const LOOK_FOR: Duration = Duration::from_millis(100);
 
-/// Whether a send may use a connection that is open already.
+/// Whether a send may use an idle connection.
 ///
-/// A new one proves that the endpoint can be reached before anything is written, so that a send that
-/// must not be repeated does not get lost on a path that has broken since.
+/// A new connection proves that the endpoint is reachable before anything is written. A request
+/// that must not be repeated is therefore not lost on a network path that has failed while the
+/// connection was idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// It may.
+    /// The send may use an idle connection.
     Allowed,
-    /// A new connection is made.
+    /// The send opens a new connection, which is closed after the answer.
     Never,
 }
 
-/// How far a request got that has no answer.
+/// Why a send got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// No connection; nothing was written.
+    /// No connection could be opened; nothing was written.
     #[error("no connection to the upstream ({0})")]
     Connect(std::io::Error),
     /// The connection closed before anything was written.
     #[error("the connection closed before the request was written")]
     NotWritten,
-    /// Something was written; the request may have run.
+    /// The connection broke after a part of the request may have been written; the request may have
+    /// run.
     #[error("the connection broke after the request was written ({0})")]
     Broken(hyper::Error),
 }
 
 impl Failure {
-    /// Whether the upstream provably has not run the request.
+    /// Whether the upstream certainly has not run the request.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Connect(_) | Self::NotWritten)
     }
 }
 
-/// A failed send, with the request if nothing of it was written.
+/// A failed send.
 #[derive(Debug)]
 pub struct SendError<B> {
-    /// How far the request got.
+    /// Why the send failed.
     pub failure: Failure,
-    /// The request, to be sent elsewhere.
+    /// The request, if nothing of it was written, so that it can be sent elsewhere.
     pub req: Option<Request<B>>,
 }
 
@@ -101,14 +105,14 @@
     B: Body<Data = Bytes> + Send + Unpin + 'static,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
-    /// An empty pool that waits for a new connection for `connect_timeout` at most.
+    /// An empty pool. Opening a connection fails after `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> Self {
         let idle = Mutex::new(FxHashMap::default());
         Self { inner: Arc::new(Inner { idle, connect_timeout }) }
     }
 
-    /// Sends one request and waits for the head of its answer. Dropping the future closes the
-    /// connection, which tells the upstream to cancel.
+    /// Sends a request and waits for the head of its answer. Dropping the future closes the
+    /// connection, which tells the upstream to cancel the request.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -117,8 +121,8 @@
     ) -> Result<Response<AnswerBody<B>>, SendError<B>> {
         while let Some(tx) = self.inner.take(addr).filter(|_| reuse == Reuse::Allowed) {
             match self.exchange(addr, tx, req, reuse).await {
-                // An idle connection that the upstream has closed meanwhile proves nothing about
-                // the endpoint, and nothing was written to it.
+                // The upstream has closed the idle connection. Nothing was written, and a closed
+                // idle connection is no sign of a failure.
                 Err(SendError { failure: Failure::NotWritten, req: Some(back) }) => req = back,
                 done => return done,
             }
@@ -129,13 +133,15 @@
         }
     }
 
-    /// Whether the process behind an address has ended: its port refuses connections. To be asked right after a
-    /// connection broke, because a reset alone comes from living endpoints too.
+    /// Whether the process behind an address has ended, that is, its port refuses connections.
+    /// Meant to be called right after a connection broke, because a reset alone may also come from
+    /// a running process.
     pub async fn has_ended(&self, addr: SocketAddr) -> bool {
         let look = tokio::time::timeout(LOOK_FOR, TcpStream::connect(addr)).await;
         matches!(look, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
     }
 
+    /// Sends a request on a given connection.
     async fn exchange(
         &self,
         addr: SocketAddr,
@@ -156,6 +162,7 @@
         }
     }
 
+    /// Attaches the connection to the body of the answer if the connection may be used again.
     fn answer(
         &self,
         addr: SocketAddr,
@@ -164,13 +171,14 @@
         reuse: Reuse,
     ) -> Response<AnswerBody<B>> {
         let idle_for = idle_time(res.headers());
-        // One that nobody would use again is closed after its answer instead of filling the
-        // endpoint's few places.
+        // A connection that will not be used again is closed after its answer, because endpoints
+        // accept few connections.
         let kept =
             (reuse == Reuse::Allowed).then(|| KeptConnection::new(tx, addr, idle_for, &self.inner));
         res.map(|body| AnswerBody::new(body, kept))
     }
 
+    /// Opens a connection.
     async fn connect(&self, addr: SocketAddr) -> std::io::Result<SendRequest<B>> {
         let connect = TcpStream::connect(addr);
         let stream = tokio::time::timeout(self.inner.connect_timeout, connect).await??;
@@ -186,6 +194,7 @@
 where
     B: Body<Data = Bytes> + Send + Unpin + 'static,
 {
+    /// Takes an idle connection that can still be used.
     fn take(&self, addr: SocketAddr) -> Option<SendRequest<B>> {
         let mut idle = self.idle.lock();
         let conns = idle.get_mut(&addr)?;
@@ -197,7 +206,7 @@
         None
     }
 
-    /// Keeps a connection whose exchange has ended whole, once it is ready for the next one.
+    /// Returns a connection to the pool once it is ready for the next request.
     async fn put(&self, addr: SocketAddr, mut tx: SendRequest<B>, idle_for: Duration) {
         if tx.ready().await.is_err() {
             return;
@@ -212,7 +221,7 @@
     }
 }
 
-/// A connection that goes back to the pool once its exchange has ended whole.
+/// A connection that returns to the pool after the complete answer was read.
 pub(crate) struct KeptConnection<B> {
     tx: SendRequest<B>,
     addr: SocketAddr,
@@ -233,7 +242,7 @@
     }
 }
 
-/// How long a connection may rest, from the answer's `Keep-Alive: timeout=…` if there is one.
+/// How long a connection may stay idle. Respects `Keep-Alive: timeout=…` in the answer.
 fn idle_time(headers: &HeaderMap) -> Duration {
     let said = headers.get("keep-alive").and_then(|it| it.to_str().ok());
     let seconds = said.and_then(|it| {
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -16,8 +16,8 @@
     CloseBeforeAnswer,
 }
 
-/// Serves the scripts in turn, one connection each, and keeps a connection that said something open
-/// until the client closes it.
+/// Accepts one connection per script, reads a request from it, and closes the connection after the
+/// script.
 async fn serve(scripts: &'static [Script]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -72,7 +72,7 @@
     }
 }
 
-/// The body of an answer without a length, after the endpoint ended the connection.
+/// Reads the body of an answer without a length, whose end is the end of the connection.
 async fn unframed(ending: Ending) -> Result<Bytes, hyper::Error> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -82,7 +82,7 @@
         assert!(stream.read(&mut buf).await.unwrap() > 0);
         stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nabc").await.unwrap();
         if ending == Ending::Reset {
-            // The client has read what was written before the reset throws it away.
+            // A reset discards data that the client has not read yet.
             tokio::time::sleep(Duration::from_millis(50)).await;
             stream.set_zero_linger().unwrap();
         }
@@ -106,7 +106,7 @@
 #[tokio::test]
 async fn a_send_that_wants_a_new_connection_gets_one() {
     const WHOLE: Script = Script::Say("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
-    // Each connection is answered once: a second request on one of them would get nothing.
+    // The server answers only one request per connection.
     let addr = serve(&[WHOLE, WHOLE]).await;
     let pool = pool();
     for _ in 0..2 {
