--- a/crates/upstream/tests/suspended.rs
+++ b/crates/upstream/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! Idle connections age while the machine is suspended.
+//! The idle time of a connection includes the time that the VM was suspended.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use tokio::task::yield_now;
 use upstream::{Pool, Reuse};
 
-/// More than the pool's tasks need.
+/// Number of yields, more than the tasks of the pool need to finish.
 const TURNS: usize = 100;
 
 #[tokio::test]
@@ -30,7 +30,7 @@
         stream
     };
     let ((), first) = tokio::join!(exchange, serve);
-    // The pool takes the connection back on a task of its own.
+    // The connection returns to the pool in a separate task.
     for _ in 0..TURNS {
         yield_now().await;
     }
@@ -41,7 +41,7 @@
         let pool = pool.clone();
         async move { pool.send(addr, req, Reuse::Allowed).await }
     });
-    // A second connection comes although the first one is still open.
+    // The pool opens a second connection although the first one is still open.
     let (_second, _) = listener.accept().await.unwrap();
     drop(first);
     send.abort();
