--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -17,7 +17,7 @@
 use crate::headers;
 use crate::open::{Open, Race};
 use crate::relay::Relay;
-use crate::work::Work;
+use crate::routed_request::RoutedRequest;
 use crate::{Dispatch, notice, trace};
 
 /// Tolerance for endpoints that answer 504 shortly before the deadline. The remaining time is sent
@@ -69,7 +69,7 @@
 /// Sends the request once on `slot` and reports the outcome to dispatch, metrics and log.
 pub(crate) async fn attempt<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     slot: D::Slot,
     body: RequestOut,
     lane: Lane,
@@ -80,16 +80,16 @@
     };
     let (slot_by, since) = (open.granted_by(), Instant::now());
     let (tier, doubt) = (open.grant().tier, open.grant().doubt);
-    let span = work.span.child();
-    let req = work.request(&cx.names, &open.grant().endpoint, &span, body);
-    let reuse = match work.route.repeat {
+    let span = request.span.child();
+    let req = request.upstream_request(&cx.names, &open.grant().endpoint, &span, body);
+    let reuse = match request.route.repeat {
         Repeat::Anytime => Reuse::Allowed,
         Repeat::IfNotRun | Repeat::Never => Reuse::Never,
     };
     let addr = open.addr();
     let endpoint = open.grant().endpoint.clone();
     let send = cx.pool.send(addr, req, reuse);
-    let sent = match open.watch(send, work.give_up_at).await {
+    let sent = match open.watch(send, request.give_up_at).await {
         None => {
             open.end(Kind::TimedOut);
             Sent::TimedOut
@@ -104,7 +104,7 @@
         Some(Err(_)) => broken(cx, open).await,
         Some(Ok(res)) => {
             cx.paths.works(addr);
-            take_answer(cx, work, open, res, is_first).await
+            take_answer(cx, request, open, res, is_first).await
         }
     };
     cx.metrics.sends.with_label_values(&[sent.name()]).inc();
@@ -117,7 +117,7 @@
         outcome: sent.name(),
         elapsed: since.elapsed(),
     };
-    trace::send(&cx.log, &cx.names, work, &record);
+    trace::send(&cx.log, &cx.names, request, &record);
     sent
 }
 
@@ -149,7 +149,7 @@
 /// Checks the head of an answer, reads the body as far as it is buffered and reports the outcome.
 async fn take_answer<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     mut open: Open<D::Slot>,
     res: Response<AnswerBody<RequestOut>>,
     is_first: bool,
@@ -157,7 +157,7 @@
     // If the answer carries a request ID, the ID must match: the endpoint may have mixed up the
     // answers of two requests.
     let named = res.headers().get(&cx.names.request_id);
-    if named.is_some_and(|it| Some(it) != work.headers.get(&cx.names.request_id)) {
+    if named.is_some_and(|it| Some(it) != request.headers.get(&cx.names.request_id)) {
         open.end(Kind::Failed);
         return Sent::Unknown;
     }
@@ -174,7 +174,7 @@
         open.end(Kind::Shed);
         return Sent::NotRun;
     }
-    let is_repeatable = work.route.repeat == Repeat::Anytime;
+    let is_repeatable = request.route.repeat == Repeat::Anytime;
     if is_repeatable && res.headers().contains_key(CONTENT_ENCODING) {
         open.end(Kind::Failed);
         return Sent::Unknown;
@@ -185,7 +185,7 @@
     if !is_failure {
         open.answered();
     }
-    let start = match open.receive(body, work.give_up_at).await {
+    let start = match open.receive(body, request.give_up_at).await {
         None => {
             open.end(Kind::TimedOut);
             return Sent::TimedOut;
@@ -195,11 +195,11 @@
     };
     let out = match start {
         Start::Whole(buf) => {
-            open.end(kind_of(parts.status, work.left()));
+            open.end(kind_of(parts.status, request.left()));
             AnswerOut::Whole(Full::new(buf))
         }
         Start::Long(start, body) => {
-            Relay::start(cx.clone(), work.clone(), open, &parts, start, body)
+            Relay::start(cx.clone(), request.clone(), open, &parts, start, body)
         }
     };
     let res = Response::from_parts(parts, out);
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -13,9 +13,9 @@
 use crate::content::request_key;
 use crate::cx::Cx;
 use crate::in_flight::{Counted, InFlight};
+use crate::routed_request::{RouteError, RoutedRequest};
 use crate::sending::send_until_done;
 use crate::trace;
-use crate::work::{NoWork, Work};
 use crate::{Admission, Dispatch};
 
 /// Serves one request.
@@ -35,29 +35,33 @@
 async fn answer<D: Dispatch>(cx: &Arc<Cx<D>>, req: Request<Incoming>) -> Response<AnswerOut> {
     let started = Instant::now();
     let id = req.headers().get(&cx.names.request_id).cloned();
-    let mut res = match Work::new(cx, &req) {
+    let mut res = match RoutedRequest::new(cx, &req) {
         _ if cx.metrics.in_flight.get() > cx.limits.max_in_flight as i64 => {
             give_up_unrouted(cx, id.as_ref(), GiveUp::too_many_in_flight())
         }
-        Ok(work) => match admit(cx, &work).await {
-            Ok(()) => run(cx, work, req.into_body(), started).await,
+        Ok(request) => match admit(cx, &request).await {
+            Ok(()) => run(cx, request, req.into_body(), started).await,
             Err(give_up) => {
-                cx.dispatch.refused(&work.route);
-                given_up(cx, &work, give_up, started)
+                cx.dispatch.refused(&request.route);
+                given_up(cx, &request, give_up, started)
             }
         },
-        Err(NoWork::NoConfiguration) => {
+        Err(RouteError::NoConfiguration) => {
             give_up_unrouted(cx, id.as_ref(), GiveUp::no_configuration())
         }
-        Err(NoWork::MayBeOutdated) => give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_outdated()),
-        Err(NoWork::MayBeLeftOut) => give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_left_out()),
-        Err(NoWork::Suspended) => give_up_unrouted(cx, id.as_ref(), GiveUp::suspended()),
-        Err(NoWork::Denied(denied)) => {
+        Err(RouteError::MayBeOutdated) => {
+            give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_outdated())
+        }
+        Err(RouteError::MayBeLeftOut) => {
+            give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_left_out())
+        }
+        Err(RouteError::Suspended) => give_up_unrouted(cx, id.as_ref(), GiveUp::suspended()),
+        Err(RouteError::Denied(denied)) => {
             cx.metrics.denied.with_label_values(&[denied.name()]).inc();
             trace::refused(&cx.log, id.as_ref(), version(cx), denied.status(), denied.name());
             refuse(denied.status(), denied.text())
         }
-        Err(NoWork::NoRoute) => {
+        Err(RouteError::NoRoute) => {
             trace::refused(&cx.log, id.as_ref(), version(cx), StatusCode::NOT_FOUND, "no route");
             refuse(StatusCode::NOT_FOUND, "no route: check host, path and method\n")
         }
@@ -86,11 +90,12 @@
 }
 
 /// Charges the request to the allowance of its organisation, before the body is read.
-async fn admit<D: Dispatch>(cx: &Arc<Cx<D>>, work: &Work) -> Result<(), GiveUp> {
-    if !work.caller.is_limited() {
+async fn admit<D: Dispatch>(cx: &Arc<Cx<D>>, request: &RoutedRequest) -> Result<(), GiveUp> {
+    if !request.caller.is_limited() {
         return Ok(());
     }
-    let admission = clock::timeout_at(work.deadline, cx.dispatch.admit(work.caller.hash)).await;
+    let admission =
+        clock::timeout_at(request.deadline, cx.dispatch.admit(request.caller.hash)).await;
     match admission.unwrap_or(Admission::Unknown) {
         Admission::Granted => Ok(()),
         Admission::Exhausted { retry_after } => Err(GiveUp::allowance_used_up(retry_after)),
@@ -101,16 +106,17 @@
 /// Reads the body and sends the request.
 async fn run<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    mut work: Work,
+    mut request: RoutedRequest,
     body: Incoming,
     started: Instant,
 ) -> Response<AnswerOut> {
-    let limit = cx.limits.max_body_bytes.min(work.snapshot.config.limits.body_bytes);
+    let limit = cx.limits.max_body_bytes.min(request.snapshot.config.limits.body_bytes);
     let read = timeout(cx.limits.read_timeout, Received::read(body, limit, &cx.room)).await;
     let refused = match read {
         Ok(Ok(mut body)) => {
-            work.key = request_key(&cx.names, &work.method, &work.uri, &work.headers, &body);
-            return finish(cx, &Arc::new(work), &mut body, started).await;
+            request.key =
+                request_key(&cx.names, &request.method, &request.uri, &request.headers, &body);
+            return finish(cx, &Arc::new(request), &mut body, started).await;
         }
         Ok(Err(BodyError::TooLong(_))) => {
             (StatusCode::PAYLOAD_TOO_LARGE, "the request is too long\n")
@@ -118,29 +124,29 @@
         Ok(Err(_)) => (StatusCode::BAD_REQUEST, "the request broke off\n"),
         Err(_) => (StatusCode::REQUEST_TIMEOUT, "the request came too slowly\n"),
     };
-    let id = work.headers.get(&cx.names.request_id);
-    trace::refused(&cx.log, id, work.snapshot.config.version, refused.0, refused.1.trim_end());
+    let id = request.headers.get(&cx.names.request_id);
+    trace::refused(&cx.log, id, request.snapshot.config.version, refused.0, refused.1.trim_end());
     refuse(refused.0, refused.1)
 }
 
 /// Sends a request whose body was read, and records how it ended.
 async fn finish<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     body: &mut Received,
     started: Instant,
 ) -> Response<AnswerOut> {
-    let res = match send_until_done(cx, work, body).await {
+    let res = match send_until_done(cx, request, body).await {
         Ok(res) => {
-            ended(cx, work, "answered", &res, started);
+            ended(cx, request, "answered", &res, started);
             res
         }
-        Err(it) => given_up(cx, work, it, started),
+        Err(it) => given_up(cx, request, it, started),
     };
     // The availability target of each service of a split route includes all requests of the route,
     // also those that went to another of its services.
-    if res.status().is_server_error() && !work.route.split.is_empty() {
-        cx.dispatch.unserved(&work.route, &work.service);
+    if res.status().is_server_error() && !request.route.split.is_empty() {
+        cx.dispatch.unserved(&request.route, &request.service);
     }
     res
 }
@@ -148,21 +154,21 @@
 /// Logs and counts a routed request that is given up, and returns its answer.
 fn given_up<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Work,
+    request: &RoutedRequest,
     why: GiveUp,
     started: Instant,
 ) -> Response<AnswerOut> {
-    trace::give_up(&cx.log, &cx.names, work, why);
+    trace::give_up(&cx.log, &cx.names, request, why);
     cx.metrics.given_up.with_label_values(&[why.cause]).inc();
     let res = why.response();
-    ended(cx, work, why.outcome(), &res, started);
+    ended(cx, request, why.outcome(), &res, started);
     res
 }
 
 /// Logs and counts a routed request that has ended.
 fn ended<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Work,
+    request: &RoutedRequest,
     outcome: &'static str,
     res: &Response<AnswerOut>,
     started: Instant,
@@ -170,5 +176,5 @@
     let elapsed = started.elapsed();
     cx.metrics.requests.with_label_values(&[outcome]).inc();
     cx.metrics.latency.with_label_values(&[outcome]).observe(elapsed.as_secs_f64());
-    trace::request(&cx.log, &cx.names, work, outcome, res.status(), elapsed);
+    trace::request(&cx.log, &cx.names, request, outcome, res.status(), elapsed);
 }
--- a/crates/caller/src/identity.rs
+++ b/crates/caller/src/identity.rs
@@ -135,13 +135,13 @@
 
     /// Whether the caller's key still belongs to the same organisation. Nothing is sent with a
     /// revoked key.
-    pub(crate) fn is_known_to(&self, callers: &Callers) -> bool {
+    pub(crate) fn is_still_valid(&self, callers: &Callers) -> bool {
         let Some(key) = self.key else { return true };
         callers.by_key(key).is_some_and(|it| it.name == self.name())
     }
 
     /// Removes the key from the headers and sets the organisation header, if keys are required.
-    pub(crate) fn introduce(&self, callers: &Callers, names: &HeaderNames, out: &mut HeaderMap) {
+    pub(crate) fn set_headers(&self, callers: &Callers, names: &HeaderNames, out: &mut HeaderMap) {
         if !callers.need_keys() {
             return;
         }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -21,10 +21,10 @@
 mod paths;
 mod relay;
 mod room;
+mod routed_request;
 mod sending;
 mod snapshot;
 mod trace;
-mod work;
 
 pub use answer::OUTCOME_HEADER;
 pub use dispatch::{Admission, Dispatch, Refused, Slot, Want, Why};
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -21,8 +21,8 @@
 use crate::body::{AnswerOut, Part, RequestOut};
 use crate::cx::Cx;
 use crate::open::{Open, STALL_AFTER};
+use crate::routed_request::RoutedRequest;
 use crate::sending::acquire_open;
-use crate::work::Work;
 use crate::{Dispatch, notice, trace};
 
 /// A stalled body that cannot be resumed elsewhere is aborted after this additional time.
@@ -37,7 +37,7 @@
 /// State of the task that streams one answer to the caller.
 pub(crate) struct Relay<D: Dispatch> {
     cx: Arc<Cx<D>>,
-    work: Arc<Work>,
+    request: Arc<RoutedRequest>,
     open: Open<D::Slot>,
     body: AnswerBody<RequestOut>,
     tx: mpsc::Sender<Part>,
@@ -68,7 +68,7 @@
     /// stream.
     pub(crate) fn start(
         cx: Arc<Cx<D>>,
-        work: Arc<Work>,
+        request: Arc<RoutedRequest>,
         mut open: Open<D::Slot>,
         parts: &response::Parts,
         start: Bytes,
@@ -76,8 +76,8 @@
     ) -> AnswerOut {
         open.tell_beginning();
         let (tx, rx) = mpsc::channel(PARTS_AHEAD);
-        let resume = Resume::of(&work.method, parts);
-        tokio::spawn(Self { cx, work, open, body, tx, sent: 0, resume }.run(start));
+        let resume = Resume::of(&request.method, parts);
+        tokio::spawn(Self { cx, request, open, body, tx, sent: 0, resume }.run(start));
         AnswerOut::Stream(rx)
     }
 
@@ -163,7 +163,7 @@
             resume.left = left;
             if self.try_resume().await.is_some() {
                 self.cx.metrics.resumes.inc();
-                trace::continued(&self.cx, &self.work, &self.open.grant().endpoint, self.sent);
+                trace::continued(&self.cx, &self.request, &self.open.grant().endpoint, self.sent);
                 return true;
             }
         }
@@ -177,25 +177,26 @@
             Step::Stalled => "the endpoint went silent in the middle of its answer",
             _ => "the endpoint broke off its answer",
         };
-        trace::broken_off(&self.cx, &self.work, &endpoint, self.sent, reason);
+        trace::broken_off(&self.cx, &self.request, &endpoint, self.sent, reason);
         self.open.end(Kind::Failed);
     }
 
     /// Makes one attempt to resume.
     async fn try_resume(&mut self) -> Option<()> {
         let resume = self.resume.as_ref()?;
-        let mut want = self.work.want(self.cx.paths.avoided(&[self.open.addr()]));
+        let mut want = self.request.slot_request(self.cx.paths.avoided(&[self.open.addr()]));
         want.left = RESUME_WITHIN;
         want.send = SendKind::Further;
         let acquire = acquire_open(&self.cx, want);
         let slot = timeout(RESUME_WITHIN, acquire).await.ok()?.ok()?;
-        if !self.work.may_be_sent(&self.cx) {
+        if !self.request.is_still_authorized(&self.cx) {
             return None;
         }
         let mut open = Open::new(slot);
         let body = RequestOut::Held(Full::default());
-        let span = self.work.span.child();
-        let mut req = self.work.request(&self.cx.names, &open.grant().endpoint, &span, body);
+        let span = self.request.span.child();
+        let mut req =
+            self.request.upstream_request(&self.cx.names, &open.grant().endpoint, &span, body);
         resume.ask(req.headers_mut(), self.sent);
         let send = self.cx.pool.send(open.addr(), req, Reuse::Allowed);
         let res = match timeout(STALL_AFTER, send).await.ok()? {
--- a/crates/caller/src/work.rs
+++ b/crates/caller/src/routed_request.rs
@@ -20,10 +20,10 @@
 
 /// How long to wait past the deadline for the endpoint's own timeout answer: a round trip plus
 /// scheduling delay. Endpoints receive the deadline, and answer when they stop at it.
-const LAST_WORD: Duration = Duration::from_millis(80);
+const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(80);
 
 /// A request whose route was found and whose caller was identified.
-pub(crate) struct Work {
+pub(crate) struct RoutedRequest {
     pub(crate) snapshot: Arc<Snapshot>,
     pub(crate) route: Arc<Route>,
     /// The service that the request is sent to, one of the route's.
@@ -45,7 +45,7 @@
 
 /// Why a request is not routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoWork {
+pub(crate) enum RouteError {
     /// No configuration is in force yet.
     NoConfiguration,
     /// No route matches, but a newer configuration may exist.
@@ -60,38 +60,38 @@
     Denied(Denied),
 }
 
-impl Work {
+impl RoutedRequest {
     /// Finds the route of a request and identifies its caller.
-    pub(crate) fn new<D>(cx: &Cx<D>, req: &Request<Incoming>) -> Result<Self, NoWork> {
+    pub(crate) fn new<D>(cx: &Cx<D>, req: &Request<Incoming>) -> Result<Self, RouteError> {
         // Read before the configuration is loaded. In the other order an outdated configuration
         // could be combined with a freshness flag that was set for its successor.
         let is_fresh = cx.shared.is_fresh();
         let snapshot = Arc::clone(&cx.shared.load());
         if snapshot.config.version == 0 {
-            return Err(NoWork::NoConfiguration);
+            return Err(RouteError::NoConfiguration);
         }
         let host = headers::host_of(req.uri(), req.headers());
         let path = req.uri().path();
         // Why a route or key that is unknown here may still exist.
-        let gap = match (is_fresh, snapshot.config.is_partial) {
-            (false, _) => Some(NoWork::MayBeOutdated),
-            (true, true) => Some(NoWork::MayBeLeftOut),
+        let fallback = match (is_fresh, snapshot.config.is_partial) {
+            (false, _) => Some(RouteError::MayBeOutdated),
+            (true, true) => Some(RouteError::MayBeLeftOut),
             (true, false) => None,
         };
         let Some(route) = snapshot.config.routes.find(&host, path, req.method().as_str()) else {
-            return Err(gap.unwrap_or(NoWork::NoRoute));
+            return Err(fallback.unwrap_or(RouteError::NoRoute));
         };
         if route.suspended {
-            return Err(NoWork::Suspended);
+            return Err(RouteError::Suspended);
         }
         let callers = &snapshot.config.callers;
         let caller = Caller::of(callers, route, &cx.names, req.headers()).map_err(|denied| {
-            let gap = gap.filter(|_| denied.depends_on_configuration());
-            gap.unwrap_or(NoWork::Denied(denied))
+            let fallback = fallback.filter(|_| denied.depends_on_configuration());
+            fallback.unwrap_or(RouteError::Denied(denied))
         })?;
         let span = Span::of(req.headers());
-        let mut out = onward_headers(&cx.names, req, &span);
-        caller.introduce(callers, &cx.names, &mut out);
+        let mut out = forwarded_headers(&cx.names, req, &span);
+        caller.set_headers(callers, &cx.names, &mut out);
         let limit = Duration::from_millis(route.deadline_ms.into());
         let left = headers::deadline_of(&cx.names, &out).map_or(limit, |it| it.min(limit));
         let deadline = Moment::now() + left;
@@ -105,7 +105,7 @@
             key: RequestKey::default(),
             span,
             deadline,
-            give_up_at: deadline + LAST_WORD,
+            give_up_at: deadline + FINAL_ANSWER_GRACE,
             slot_ms: AtomicU64::new(0),
             snapshot,
         })
@@ -117,8 +117,8 @@
     }
 
     /// Adds to the time spent waiting for slots.
-    pub(crate) fn waited(&self, it: Duration) {
-        self.slot_ms.fetch_add(it.as_millis() as u64, Ordering::Relaxed);
+    pub(crate) fn record_slot_wait(&self, wait: Duration) {
+        self.slot_ms.fetch_add(wait.as_millis() as u64, Ordering::Relaxed);
     }
 
     /// Total time spent waiting for slots, in milliseconds.
@@ -127,10 +127,10 @@
     }
 
     /// Whether the caller is still authorized by the configuration that is in force now.
-    pub(crate) fn may_be_sent<D>(&self, cx: &Cx<D>) -> bool {
+    pub(crate) fn is_still_authorized<D>(&self, cx: &Cx<D>) -> bool {
         let current = cx.shared.load();
         current.config.version == self.snapshot.config.version
-            || self.caller.is_known_to(&current.config.callers)
+            || self.caller.is_still_valid(&current.config.callers)
     }
 
     /// Time left until the deadline.
@@ -158,7 +158,7 @@
     }
 
     /// The slot request for the first send. `avoid` lists endpoints to use only as a last resort.
-    pub(crate) fn want(&self, avoid: Vec<SocketAddr>) -> Want {
+    pub(crate) fn slot_request(&self, avoid: Vec<SocketAddr>) -> Want {
         Want {
             route: self.route.clone(),
             service: self.service.clone(),
@@ -176,7 +176,7 @@
     }
 
     /// The upstream request for one send.
-    pub(crate) fn request(
+    pub(crate) fn upstream_request(
         &self,
         names: &HeaderNames,
         endpoint: &Name,
@@ -198,7 +198,7 @@
 }
 
 /// The caller's headers without the hop-by-hop ones. Generates a request ID if there is none.
-fn onward_headers(names: &HeaderNames, req: &Request<Incoming>, span: &Span) -> HeaderMap {
+fn forwarded_headers(names: &HeaderNames, req: &Request<Incoming>, span: &Span) -> HeaderMap {
     let mut out = req.headers().clone();
     headers::strip_hop_by_hop(&mut out);
     out.remove(header::CONTENT_LENGTH);
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -18,7 +18,7 @@
 use crate::body::{AnswerOut, Received, RequestOut};
 use crate::cx::Cx;
 use crate::open::Race;
-use crate::work::Work;
+use crate::routed_request::RoutedRequest;
 use crate::{Dispatch, Refused, Slot, Want, Why};
 
 /// `retry-after` for requests that failed at an endpoint instead of being refused by a queue. After
@@ -55,7 +55,7 @@
 /// Sends a request until there is an answer or the route's rules forbid another send.
 pub(crate) async fn send_until_done<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     body: &mut Received,
 ) -> Result<Response<AnswerOut>, GiveUp> {
     let mut progress = Progress::default();
@@ -63,14 +63,14 @@
     loop {
         let want = Want {
             send: progress.send_kind(),
-            is_last: work.is_last_send(progress.reached),
-            ..work.want(cx.paths.avoided(&progress.tried))
+            is_last: request.is_last_send(progress.reached),
+            ..request.slot_request(cx.paths.avoided(&progress.tried))
         };
-        let slot = match acquire(cx, work, want).await {
+        let slot = match acquire(cx, request, want).await {
             Ok(slot) => slot,
             Err(refused) => return end(failure, refused, &progress),
         };
-        if !work.may_be_sent(cx) {
+        if !request.is_still_authorized(cx) {
             return match progress.reached {
                 0 => Err(GiveUp::key_taken_away()),
                 _ => end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress),
@@ -79,10 +79,10 @@
         // A streamed body can be sent only once. The deadline is checked again because the process
         // may have been suspended during the wait for a slot, and nothing is sent after the
         // deadline.
-        let Some(out) = body.next().filter(|_| !work.left().is_zero()) else {
+        let Some(out) = body.next().filter(|_| !request.left().is_zero()) else {
             return end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress);
         };
-        let sent = hedged(cx, work, slot, out, &mut progress).await;
+        let sent = hedged(cx, request, slot, out, &mut progress).await;
         let (outcome, timed_out) = match sent {
             Sent::Answer(res) => return Ok(res),
             Sent::Failure(res) => {
@@ -97,7 +97,7 @@
             Sent::Unknown | Sent::Crashed => (Outcome::Unknown, false),
             Sent::TimedOut => (Outcome::Unknown, true),
         };
-        let next = progress.next(work, outcome);
+        let next = progress.next(request, outcome);
         progress.unknown_before |= outcome == Outcome::Unknown;
         let retry_after = RETRY_AFTER_FAILURE;
         match next {
@@ -121,13 +121,13 @@
         }
     }
 
-    fn next(&self, work: &Work, outcome: Outcome) -> Next {
+    fn next(&self, request: &RoutedRequest, outcome: Outcome) -> Next {
         let attempt = Attempt {
-            repeat: work.route.repeat,
+            repeat: request.route.repeat,
             unknown_before: self.unknown_before,
             sends: self.reached,
-            max_sends: if self.unreached < MAX_UNREACHED { work.route.max_sends } else { 0 },
-            left: work.left(),
+            max_sends: if self.unreached < MAX_UNREACHED { request.route.max_sends } else { 0 },
+            left: request.left(),
         };
         next_step(outcome, attempt)
     }
@@ -154,12 +154,12 @@
 /// Waits for a slot until the deadline and records the wait.
 async fn acquire<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Work,
+    request: &RoutedRequest,
     want: Want,
 ) -> Result<D::Slot, Refused> {
     let since = Instant::now();
-    let slot = clock::timeout_at(work.deadline, acquire_open(cx, want)).await;
-    work.waited(since.elapsed());
+    let slot = clock::timeout_at(request.deadline, acquire_open(cx, want)).await;
+    request.record_slot_wait(since.elapsed());
     cx.metrics.slot_wait.observe(since.elapsed().as_secs_f64());
     slot.unwrap_or(Err(Refused::no_capacity(RETRY_AFTER_FAILURE)))
 }
@@ -183,13 +183,13 @@
 /// takes longer than the hedge delay of its grant.
 async fn hedged<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     slot: D::Slot,
     body: RequestOut,
     progress: &mut Progress,
 ) -> Sent {
     let grant = slot.grant().clone();
-    let may_hedge = work.route.hedge && progress.reached + 1 < work.route.max_sends;
+    let may_hedge = request.route.hedge && progress.reached + 1 < request.route.max_sends;
     let copy = match &body {
         RequestOut::Held(it) if may_hedge => Some(it.clone()),
         _ => None,
@@ -200,7 +200,7 @@
         0 => Lane::First(race.clone()),
         _ => Lane::Further(race.clone()),
     };
-    let mut first = pin!(attempt(cx, work, slot, body, lane));
+    let mut first = pin!(attempt(cx, request, slot, body, lane));
     let Some(copy) = copy else { return progress.count(first.await) };
     let part = if grant.trial { TRIAL_HEDGE_PART } else { 1 };
     let patience = grant.hedge_after / part;
@@ -210,7 +210,7 @@
     progress.reached += 1;
     let is_sent = AtomicBool::new(false);
     let avoid = cx.paths.avoided(&progress.tried);
-    let mut second = pin!(second_send(cx, work, avoid, copy, &is_sent));
+    let mut second = pin!(second_send(cx, request, avoid, copy, &is_sent));
     let (sent, hedge) = tokio::select! {
         biased;
         sent = &mut first => match sent {
@@ -252,25 +252,26 @@
 /// Sets `is_sent` just before the send; returns `None` if the hedge was never sent.
 async fn second_send<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     avoid: Vec<SocketAddr>,
     body: Full<Bytes>,
     is_sent: &AtomicBool,
 ) -> Option<Sent> {
     let slot = loop {
-        let want = Want { send: SendKind::Further, wait: false, ..work.want(avoid.clone()) };
-        match acquire(cx, work, want).await {
+        let want =
+            Want { send: SendKind::Further, wait: false, ..request.slot_request(avoid.clone()) };
+        match acquire(cx, request, want).await {
             Ok(slot) => break slot,
             Err(Refused { why: Why::CrashesEndpoints, .. }) => return None,
-            Err(_) if work.left() <= HEDGE_AGAIN => return None,
+            Err(_) if request.left() <= HEDGE_AGAIN => return None,
             Err(_) => sleep(HEDGE_AGAIN).await,
         }
     };
-    if !work.may_be_sent(cx) {
+    if !request.is_still_authorized(cx) {
         return None;
     }
     is_sent.store(true, Ordering::Relaxed);
     cx.metrics.hedges.inc();
     let lane = Lane::Further(Race::default());
-    Some(attempt(cx, work, slot, RequestOut::Held(body), lane).await)
+    Some(attempt(cx, request, slot, RequestOut::Held(body), lane).await)
 }
--- a/crates/caller/src/tests/identity.rs
+++ b/crates/caller/src/tests/identity.rs
@@ -41,7 +41,7 @@
     assert_eq!(caller.as_ref().map(Caller::name).map_err(|it| *it), expected, "{shown:?}");
     let Ok(caller) = caller else { return };
     let mut out = headers;
-    caller.introduce(&config.callers, &names(), &mut out);
+    caller.set_headers(&config.callers, &names(), &mut out);
     let told = out.get("x-organisation").map(|it| it.to_str().unwrap());
     assert_eq!(told.unwrap_or(""), expected.unwrap(), "{shown:?}");
     assert!(!out.contains_key("x-key"), "{shown:?}");
@@ -79,6 +79,6 @@
     let caller = Caller::of(&config.callers, route, &names(), &headers).unwrap();
     assert_eq!((caller.weight(), caller.is_limited()), (3, true));
     assert_eq!(caller.priority(), Some(resources::Priority(0)));
-    assert!(caller.is_known_to(&config.callers));
-    assert!(!caller.is_known_to(&Callers::default()), "its key was taken away");
+    assert!(caller.is_still_valid(&config.callers));
+    assert!(!caller.is_still_valid(&Callers::default()), "its key was taken away");
 }
--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -11,13 +11,13 @@
 use crate::answer::GiveUp;
 use crate::cx::Cx;
 use crate::headers::{BadNumber, HeaderNames, Span};
-use crate::work::Work;
+use crate::routed_request::RoutedRequest;
 
 /// Logs a request that has ended, at warning level after a server error.
 pub(crate) fn request(
     log: &Logger,
     names: &HeaderNames,
-    work: &Work,
+    request: &RoutedRequest,
     outcome: &'static str,
     status: StatusCode,
     elapsed: Duration,
@@ -25,10 +25,10 @@
     macro_rules! record {
         ($level:ident) => {
             $level!(log, "request";
-                "request_id" => work.request_id(names), "config" => work.snapshot.config.version,
-                "trace" => %Hex128(work.span.trace), "route" => work.route.name.as_str(),
-                "service" => work.service.as_str(), "organisation" => work.caller.name(),
-                "slot_ms" => work.slot_ms(),
+                "request_id" => request.request_id(names), "config" => request.snapshot.config.version,
+                "trace" => %Hex128(request.span.trace), "route" => request.route.name.as_str(),
+                "service" => request.service.as_str(), "organisation" => request.caller.name(),
+                "slot_ms" => request.slot_ms(),
                 "outcome" => outcome, "status" => status.as_u16(),
                 "ms" => elapsed.as_millis() as u64)
         };
@@ -66,15 +66,15 @@
 
 /// Logs a send. A send that was answered is logged only at debug level, because its request is
 /// logged as well.
-pub(crate) fn send(log: &Logger, names: &HeaderNames, work: &Work, it: &Send<'_>) {
+pub(crate) fn send(log: &Logger, names: &HeaderNames, request: &RoutedRequest, it: &Send<'_>) {
     macro_rules! record {
         ($level:ident) => {
             $level!(log, "send";
-                "request_id" => work.request_id(names), "endpoint" => it.endpoint,
-                "content" => %Hex64(work.key.0), "outcome" => it.outcome, "slot_by" => it.slot_by,
+                "request_id" => request.request_id(names), "endpoint" => it.endpoint,
+                "content" => %Hex64(request.key.0), "outcome" => it.outcome, "slot_by" => it.slot_by,
                 "choice" => it.tier.name(), "sick" => f64::from(it.doubt.sick_permille) / 1e3,
                 "evidence_ms" => it.doubt.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
-                "left_ms" => work.left().as_millis() as u64, "span" => %Hex64(it.span.id),
+                "left_ms" => request.left().as_millis() as u64, "span" => %Hex64(it.span.id),
                 "parent" => %Hex64(it.span.parent))
         };
     }
@@ -90,27 +90,27 @@
 }
 
 /// Logs that a download was resumed on another endpoint.
-pub(crate) fn continued<D>(cx: &Cx<D>, work: &Work, endpoint: &str, sent: u64) {
-    info!(cx.log, "download resumed"; "request_id" => work.request_id(&cx.names),
+pub(crate) fn continued<D>(cx: &Cx<D>, request: &RoutedRequest, endpoint: &str, sent: u64) {
+    info!(cx.log, "download resumed"; "request_id" => request.request_id(&cx.names),
         "endpoint" => endpoint, "sent_bytes" => sent);
 }
 
 /// Logs that a download was aborted before it was complete. The caller sees the truncation.
 pub(crate) fn broken_off<D>(
     cx: &Cx<D>,
-    work: &Work,
+    request: &RoutedRequest,
     endpoint: &str,
     sent: u64,
     reason: &'static str,
 ) {
-    warn!(cx.log, "download broken off"; "request_id" => work.request_id(&cx.names),
+    warn!(cx.log, "download broken off"; "request_id" => request.request_id(&cx.names),
         "endpoint" => endpoint, "sent_bytes" => sent, "reason" => reason);
 }
 
 /// Logs why a request is given up.
-pub(crate) fn give_up(log: &Logger, names: &HeaderNames, work: &Work, why: GiveUp) {
-    warn!(log, "request given up"; "request_id" => work.request_id(names), "reason" => why.reason,
-        "outcome" => why.outcome(), "left_ms" => work.left().as_millis() as u64);
+pub(crate) fn give_up(log: &Logger, names: &HeaderNames, request: &RoutedRequest, why: GiveUp) {
+    warn!(log, "request given up"; "request_id" => request.request_id(names), "reason" => why.reason,
+        "outcome" => why.outcome(), "left_ms" => request.left().as_millis() as u64);
 }
 
 /// Formats an ID with 16 hexadecimal digits.
