--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -22,10 +22,10 @@
 
 /// Tolerance for endpoints that answer 504 shortly before the deadline. The remaining time is sent
 /// to them in whole milliseconds, and their clocks differ slightly from the local one.
-const DEADLINE_SLACK: Duration = Duration::from_millis(10);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(10);
 
 /// How one send ended.
-pub(crate) enum Sent {
+pub(crate) enum SendResult {
     /// An answer for the caller.
     Answer(Response<AnswerOut>),
     /// A server error from the endpoint, to a request that may be sent again.
@@ -42,7 +42,7 @@
     TimedOut,
 }
 
-impl Sent {
+impl SendResult {
     /// Label for metrics and logs.
     fn name(&self) -> &'static str {
         match self {
@@ -59,7 +59,7 @@
 }
 
 /// Whether a send is the first one of its request.
-pub(crate) enum Lane {
+pub(crate) enum SendOrder {
     /// The first send.
     First(Race),
     /// A repeat or a hedge.
@@ -67,16 +67,16 @@
 }
 
 /// Sends the request once on `slot` and reports the outcome to dispatch, metrics and log.
-pub(crate) async fn attempt<D: Dispatch>(
+pub(crate) async fn send_once<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     slot: D::Slot,
     body: RequestOut,
-    lane: Lane,
-) -> Sent {
-    let is_first = matches!(lane, Lane::First(_));
-    let mut open = match lane {
-        Lane::First(race) | Lane::Further(race) => Open::in_race(slot, race),
+    order: SendOrder,
+) -> SendResult {
+    let is_first = matches!(order, SendOrder::First(_));
+    let mut open = match order {
+        SendOrder::First(race) | SendOrder::Further(race) => Open::in_race(slot, race),
     };
     let (slot_by, since) = (open.granted_by(), Instant::now());
     let (tier, doubt) = (open.grant().tier, open.grant().doubt);
@@ -92,19 +92,19 @@
     let sent = match open.watch(send, request.give_up_at).await {
         None => {
             open.end(Kind::TimedOut);
-            Sent::TimedOut
+            SendResult::TimedOut
         }
         Some(Err(error)) if error.failure.is_not_run() => {
             if matches!(error.failure, Failure::Connect(_)) {
                 cx.paths.failed(addr);
             }
             open.end(Kind::Unreachable);
-            Sent::Unreached(error.req.map(Request::into_body))
+            SendResult::Unreached(error.req.map(Request::into_body))
         }
-        Some(Err(_)) => broken(cx, open).await,
+        Some(Err(_)) => end_broken(cx, open).await,
         Some(Ok(res)) => {
             cx.paths.works(addr);
-            take_answer(cx, request, open, res, is_first).await
+            handle_answer(cx, request, open, res, is_first).await
         }
     };
     cx.metrics.sends.with_label_values(&[sent.name()]).inc();
@@ -122,49 +122,49 @@
 }
 
 /// Classifies a complete answer by its status and the time left until the deadline.
-pub(crate) fn kind_of(status: StatusCode, left: Duration) -> Kind {
+pub(crate) fn answer_kind(status: StatusCode, left: Duration) -> Kind {
     match status {
         // Not counted as a failure: the detector decides from the elapsed time whether the endpoint
         // was too slow.
-        StatusCode::GATEWAY_TIMEOUT if left < DEADLINE_SLACK => Kind::TimedOut,
+        StatusCode::GATEWAY_TIMEOUT if left < DEADLINE_TOLERANCE => Kind::TimedOut,
         it if it.is_server_error() => Kind::Failed,
         _ => Kind::Answered,
     }
 }
 
 /// Ends a send whose connection broke before the answer was complete.
-async fn broken<D: Dispatch>(cx: &Cx<D>, open: Open<D::Slot>) -> Sent {
-    let kind = break_kind(cx, open.addr()).await;
+async fn end_broken<D: Dispatch>(cx: &Cx<D>, open: Open<D::Slot>) -> SendResult {
+    let kind = classify_break(cx, open.addr()).await;
     open.end(kind);
-    if kind == Kind::Crashed { Sent::Crashed } else { Sent::Unknown }
+    if kind == Kind::Crashed { SendResult::Crashed } else { SendResult::Unknown }
 }
 
 /// Determines whether a connection broke because the endpoint's process has ended. The check runs
 /// immediately, because the process may be restarted soon, and because a repeat that is sent before
 /// the crash is known could crash the next endpoint.
-pub(crate) async fn break_kind<D: Dispatch>(cx: &Cx<D>, addr: SocketAddr) -> Kind {
+pub(crate) async fn classify_break<D: Dispatch>(cx: &Cx<D>, addr: SocketAddr) -> Kind {
     if cx.pool.has_ended(addr).await { Kind::Crashed } else { Kind::Failed }
 }
 
 /// Checks the head of an answer, reads the body as far as it is buffered and reports the outcome.
-async fn take_answer<D: Dispatch>(
+async fn handle_answer<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     mut open: Open<D::Slot>,
     res: Response<AnswerBody<RequestOut>>,
     is_first: bool,
-) -> Sent {
+) -> SendResult {
     // If the answer carries a request ID, the ID must match: the endpoint may have mixed up the
     // answers of two requests.
-    let named = res.headers().get(&cx.names.request_id);
-    if named.is_some_and(|it| Some(it) != request.headers.get(&cx.names.request_id)) {
+    let answered_id = res.headers().get(&cx.names.request_id);
+    if answered_id.is_some_and(|it| Some(it) != request.headers.get(&cx.names.request_id)) {
         open.end(Kind::Failed);
-        return Sent::Unknown;
+        return SendResult::Unknown;
     }
     if res.status() == StatusCode::MISDIRECTED_REQUEST {
         // The address now belongs to a different endpoint; the intended one is gone.
         open.end(Kind::Failed);
-        return Sent::NotRun;
+        return SendResult::NotRun;
     }
     notice::hear(cx, &mut open, &res);
     if res.headers().contains_key(&cx.names.not_run) && !res.status().is_success() {
@@ -172,12 +172,12 @@
             cx.metrics.first_shed.inc();
         }
         open.end(Kind::Shed);
-        return Sent::NotRun;
+        return SendResult::NotRun;
     }
     let is_repeatable = request.route.repeat == Repeat::Anytime;
     if is_repeatable && res.headers().contains_key(CONTENT_ENCODING) {
         open.end(Kind::Failed);
-        return Sent::Unknown;
+        return SendResult::Unknown;
     }
     let is_failure = res.status().is_server_error();
     let (mut parts, body) = res.into_parts();
@@ -188,14 +188,14 @@
     let start = match open.receive(body, request.give_up_at).await {
         None => {
             open.end(Kind::TimedOut);
-            return Sent::TimedOut;
+            return SendResult::TimedOut;
         }
-        Some(Err(_)) => return broken(cx, open).await,
+        Some(Err(_)) => return end_broken(cx, open).await,
         Some(Ok(start)) => start,
     };
     let out = match start {
         Start::Whole(buf) => {
-            open.end(kind_of(parts.status, request.left()));
+            open.end(answer_kind(parts.status, request.left()));
             AnswerOut::Whole(Full::new(buf))
         }
         Start::Long(start, body) => {
@@ -203,5 +203,5 @@
         }
     };
     let res = Response::from_parts(parts, out);
-    if is_failure && is_repeatable { Sent::Failure(res) } else { Sent::Answer(res) }
+    if is_failure && is_repeatable { SendResult::Failure(res) } else { SendResult::Answer(res) }
 }
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, timeout};
 use upstream::{AnswerBody, Reuse};
 
-use crate::attempt::break_kind;
+use crate::attempt::classify_break;
 use crate::body::{AnswerOut, Part, RequestOut};
 use crate::cx::Cx;
 use crate::open::{Open, STALL_AFTER};
@@ -106,7 +106,7 @@
                     if matches!(step, Step::Broken) {
                         // Reported before the resume, so that dispatch takes the failure into
                         // account when it chooses the next endpoint.
-                        let kind = break_kind(&self.cx, self.open.addr()).await;
+                        let kind = classify_break(&self.cx, self.open.addr()).await;
                         self.open.give_back(kind);
                     }
                     match self.resume().await {
@@ -203,7 +203,7 @@
             Ok(res) => res,
             Err(error) => {
                 if !error.failure.is_not_run() {
-                    let kind = break_kind(&self.cx, open.addr()).await;
+                    let kind = classify_break(&self.cx, open.addr()).await;
                     open.end(kind);
                 }
                 return None;
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use crate::answer::GiveUp;
-use crate::attempt::{Lane, Sent, attempt};
+use crate::attempt::{SendOrder, SendResult, send_once};
 use crate::body::{AnswerOut, Received, RequestOut};
 use crate::cx::Cx;
 use crate::open::Race;
@@ -84,18 +84,18 @@
         };
         let sent = hedged(cx, request, slot, out, &mut progress).await;
         let (outcome, timed_out) = match sent {
-            Sent::Answer(res) => return Ok(res),
-            Sent::Failure(res) => {
+            SendResult::Answer(res) => return Ok(res),
+            SendResult::Failure(res) => {
                 failure = Some(res);
                 (Outcome::Unknown, false)
             }
-            Sent::Unreached(back) => {
+            SendResult::Unreached(back) => {
                 back.into_iter().for_each(|it| body.put_back(it));
                 (Outcome::NotRun, false)
             }
-            Sent::NotRun => (Outcome::NotRun, false),
-            Sent::Unknown | Sent::Crashed => (Outcome::Unknown, false),
-            Sent::TimedOut => (Outcome::Unknown, true),
+            SendResult::NotRun => (Outcome::NotRun, false),
+            SendResult::Unknown | SendResult::Crashed => (Outcome::Unknown, false),
+            SendResult::TimedOut => (Outcome::Unknown, true),
         };
         let next = progress.next(request, outcome);
         progress.unknown_before |= outcome == Outcome::Unknown;
@@ -187,7 +187,7 @@
     slot: D::Slot,
     body: RequestOut,
     progress: &mut Progress,
-) -> Sent {
+) -> SendResult {
     let grant = slot.grant().clone();
     let may_hedge = request.route.hedge && progress.reached + 1 < request.route.max_sends;
     let copy = match &body {
@@ -196,11 +196,11 @@
     };
     progress.tried.push(grant.addr);
     let race = Race::default();
-    let lane = match progress.reached {
-        0 => Lane::First(race.clone()),
-        _ => Lane::Further(race.clone()),
+    let order = match progress.reached {
+        0 => SendOrder::First(race.clone()),
+        _ => SendOrder::Further(race.clone()),
     };
-    let mut first = pin!(attempt(cx, request, slot, body, lane));
+    let mut first = pin!(send_once(cx, request, slot, body, order));
     let Some(copy) = copy else { return progress.count(first.await) };
     let part = if grant.trial { TRIAL_HEDGE_PART } else { 1 };
     let patience = grant.hedge_after / part;
@@ -214,16 +214,16 @@
     let (sent, hedge) = tokio::select! {
         biased;
         sent = &mut first => match sent {
-            Sent::Answer(_) => (sent, None),
+            SendResult::Answer(_) => (sent, None),
             _ if is_sent.load(Ordering::Relaxed) => (sent, second.await),
             // The hedge was not sent yet. The next regular send may wait for a slot; a hedge may
             // not.
             _ => (sent, None),
         },
         hedge = &mut second => match hedge {
-            Some(Sent::Answer(_)) => {
+            Some(SendResult::Answer(_)) => {
                 race.is_lost();
-                return hedge.unwrap_or(Sent::Unknown);
+                return hedge.unwrap_or(SendResult::Unknown);
             }
             _ => (first.await, hedge),
         },
@@ -232,16 +232,16 @@
         progress.reached += 1;
     }
     match hedge {
-        Some(hedge @ Sent::Answer(_)) if !matches!(sent, Sent::Answer(_)) => hedge,
+        Some(hedge @ SendResult::Answer(_)) if !matches!(sent, SendResult::Answer(_)) => hedge,
         _ => sent,
     }
 }
 
 impl Progress {
     /// Counts a send as reached or unreached and returns it.
-    fn count(&mut self, sent: Sent) -> Sent {
+    fn count(&mut self, sent: SendResult) -> SendResult {
         match sent {
-            Sent::Unreached(_) => self.unreached += 1,
+            SendResult::Unreached(_) => self.unreached += 1,
             _ => self.reached += 1,
         }
         sent
@@ -256,7 +256,7 @@
     avoid: Vec<SocketAddr>,
     body: Full<Bytes>,
     is_sent: &AtomicBool,
-) -> Option<Sent> {
+) -> Option<SendResult> {
     let slot = loop {
         let want =
             Want { send: SendKind::Further, wait: false, ..request.slot_request(avoid.clone()) };
@@ -272,6 +272,6 @@
     }
     is_sent.store(true, Ordering::Relaxed);
     cx.metrics.hedges.inc();
-    let lane = Lane::Further(Race::default());
-    Some(attempt(cx, request, slot, RequestOut::Held(body), lane).await)
+    let order = SendOrder::Further(Race::default());
+    Some(send_once(cx, request, slot, RequestOut::Held(body), order).await)
 }
--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -9,7 +9,7 @@
 use resources::Config;
 
 use crate::answer::GiveUp;
-use crate::attempt::kind_of;
+use crate::attempt::answer_kind;
 use crate::body::Received;
 use crate::content::request_key;
 use crate::headers::{HeaderNames, Span, deadline_of, host_of, strip_hop_by_hop};
@@ -125,7 +125,11 @@
 #[test]
 fn the_end_of_the_deadline_is_no_fault_of_the_endpoint() {
     let check = |status, left_ms, expected| {
-        assert_eq!(kind_of(status, Duration::from_millis(left_ms)), expected, "{status} {left_ms}");
+        assert_eq!(
+            answer_kind(status, Duration::from_millis(left_ms)),
+            expected,
+            "{status} {left_ms}"
+        );
     };
     check(StatusCode::GATEWAY_TIMEOUT, 0, Kind::TimedOut);
     check(StatusCode::GATEWAY_TIMEOUT, 1, Kind::TimedOut);
