--- a/crates/caller/src/open.rs
+++ b/crates/caller/src/active_slot.rs
@@ -17,27 +17,27 @@
 
 /// A timer that fires later than this indicates that the process was paused. The delay is then not
 /// attributed to the endpoint.
-const PAUSE: Duration = Duration::from_millis(100);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// If an answer is still incomplete this long after its head, the start of the answer is reported
 /// separately, which frees the endpoint's slot early. Most answers are complete before that, and
 /// the report of their end frees the slot without an extra message.
-const BEGAN_AFTER: Duration = Duration::from_millis(5);
+const REPORT_START_AFTER: Duration = Duration::from_millis(5);
 /// A body is stalled if no data arrives for this long while it is being read.
 pub(crate) const STALL_AFTER: Duration = Duration::from_secs(1);
 
 /// A slot in use. Dropping it reports how long the endpoint has been silent, so that a request that
 /// is abandoned after a long silence still counts against the endpoint.
-pub(crate) struct Open<S: Slot> {
+pub(crate) struct ActiveSlot<S: Slot> {
     slot: Option<S>,
     grant: Grant,
     started: Moment,
     /// When data last arrived from the endpoint; initially, when the request was sent.
-    heard: Moment,
+    last_activity: Moment,
     /// Time from the send to the head of the answer.
-    answered_after: Option<Duration>,
-    is_beginning_told: bool,
-    is_stall_told: bool,
+    head_after: Option<Duration>,
+    is_start_reported: bool,
+    is_stall_reported: bool,
     /// Whether the process was paused meanwhile. The outcome is then not reported.
     was_paused: bool,
     race: Race,
@@ -45,8 +45,8 @@
 
 /// A report about an answer that is still incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Word {
-    Began,
+enum Report {
+    Started,
     Stalled,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-impl<S: Slot> Open<S> {
+impl<S: Slot> ActiveSlot<S> {
     /// Starts the use of a slot for a send without a hedge.
     pub(crate) fn new(slot: S) -> Self {
         Self::in_race(slot, Race::default())
@@ -80,10 +80,10 @@
             slot: Some(slot),
             grant,
             started,
-            heard: started,
-            answered_after: None,
-            is_beginning_told: false,
-            is_stall_told: false,
+            last_activity: started,
+            head_after: None,
+            is_start_reported: false,
+            is_stall_reported: false,
             was_paused: false,
             race,
         }
@@ -102,15 +102,15 @@
     }
 
     /// Records the arrival of the answer's head, which determines the latency of the request.
-    pub(crate) fn answered(&mut self) {
-        self.answered_after = Some(self.started.elapsed());
-        self.heard();
+    pub(crate) fn record_head(&mut self) {
+        self.head_after = Some(self.started.elapsed());
+        self.record_activity();
     }
 
     /// Reports that the answer has begun and is not complete yet.
-    pub(crate) fn tell_beginning(&mut self) {
-        let Some(elapsed) = self.answered_after.filter(|_| !self.is_beginning_told) else { return };
-        self.is_beginning_told = true;
+    pub(crate) fn report_start(&mut self) {
+        let Some(elapsed) = self.head_after.filter(|_| !self.is_start_reported) else { return };
+        self.is_start_reported = true;
         if let Some(slot) = &mut self.slot {
             slot.answer_began(elapsed);
         }
@@ -118,22 +118,22 @@
 
     /// Reports a notice from the endpoint. The absence of a rate limit is reported only if a limit
     /// was known before.
-    pub(crate) fn noticed(&mut self, notice: Notice) {
-        let is_news = self.grant.is_rate_limited || notice != Notice::RateLimit(None);
-        if let Some(slot) = self.slot.as_mut().filter(|_| is_news) {
+    pub(crate) fn report_notice(&mut self, notice: Notice) {
+        let is_relevant = self.grant.is_rate_limited || notice != Notice::RateLimit(None);
+        if let Some(slot) = self.slot.as_mut().filter(|_| is_relevant) {
             slot.noticed(notice);
         }
     }
 
     /// Restarts the stall timer: data arrived from the endpoint, or a read starts only now.
-    pub(crate) fn heard(&mut self) {
-        self.heard = Moment::now();
+    pub(crate) fn record_activity(&mut self) {
+        self.last_activity = Moment::now();
     }
 
     /// Reports that the endpoint has stopped sending.
-    pub(crate) fn stalled(&mut self) {
-        self.is_stall_told = true;
-        let elapsed = self.heard.elapsed();
+    pub(crate) fn report_stall(&mut self) {
+        self.is_stall_reported = true;
+        let elapsed = self.last_activity.elapsed();
         if let Some(slot) = &mut self.slot {
             slot.stalled(elapsed);
         }
@@ -141,14 +141,14 @@
 
     /// Releases the slot and reports the outcome.
     pub(crate) fn end(mut self, kind: Kind) {
-        self.give_back(kind);
+        self.release(kind);
     }
 
     /// Releases the slot and reports the outcome, but keeps the grant available.
-    pub(crate) fn give_back(&mut self, kind: Kind) {
+    pub(crate) fn release(&mut self, kind: Kind) {
         let elapsed = match kind {
-            Kind::Answered => self.answered_after.unwrap_or_else(|| self.started.elapsed()),
-            it if it.is_silence() => self.heard.elapsed(),
+            Kind::Answered => self.head_after.unwrap_or_else(|| self.started.elapsed()),
+            it if it.is_silence() => self.last_activity.elapsed(),
             _ => self.started.elapsed(),
         };
         if let Some(slot) = self.slot.take()
@@ -170,17 +170,19 @@
     {
         let mut reading = Reading::new(body);
         loop {
-            let next_word = self.next_word();
-            let until = next_word.map_or(deadline, |(at, _)| at.min(deadline));
+            let next_report = self.next_report();
+            let until = next_report.map_or(deadline, |(at, _)| at.min(deadline));
             match timeout_at(until, reading.step()).await {
                 Some(Ok(Some(start))) => return Some(Ok(start)),
-                Some(Ok(None)) => self.heard(),
+                Some(Ok(None)) => self.record_activity(),
                 Some(Err(error)) => return Some(Err(error)),
                 None if deadline.left().is_zero() => return None,
-                None => match next_word {
-                    Some((_, Word::Began)) => self.tell_beginning(),
-                    Some((at, Word::Stalled)) if at.elapsed() < PAUSE => self.stalled(),
-                    Some((_, Word::Stalled)) => self.was_paused = true,
+                None => match next_report {
+                    Some((_, Report::Started)) => self.report_start(),
+                    Some((at, Report::Stalled)) if at.elapsed() < PAUSE_THRESHOLD => {
+                        self.report_stall()
+                    }
+                    Some((_, Report::Stalled)) => self.was_paused = true,
                     None => {}
                 },
             }
@@ -188,18 +190,22 @@
     }
 
     /// The next report that is due for an answer that is being read, and when.
-    fn next_word(&self) -> Option<(Moment, Word)> {
-        match self.answered_after {
-            Some(after) if !self.is_beginning_told => {
-                Some((self.started + after + BEGAN_AFTER, Word::Began))
+    fn next_report(&self) -> Option<(Moment, Report)> {
+        match self.head_after {
+            Some(after) if !self.is_start_reported => {
+                Some((self.started + after + REPORT_START_AFTER, Report::Started))
             }
-            _ if self.is_stall_told || self.was_paused => None,
-            _ => Some((self.heard + STALL_AFTER, Word::Stalled)),
+            _ if self.is_stall_reported || self.was_paused => None,
+            _ => Some((self.last_activity + STALL_AFTER, Report::Stalled)),
         }
     }
 
     /// Runs `fut` until the deadline and reports a stall meanwhile. Returns `None` at the deadline.
-    pub(crate) async fn watch<F: Future>(&mut self, fut: F, deadline: Moment) -> Option<F::Output> {
+    pub(crate) async fn run_until<F: Future>(
+        &mut self,
+        fut: F,
+        deadline: Moment,
+    ) -> Option<F::Output> {
         let mut fut = pin!(fut);
         let stall_at = (self.started + self.grant.stall_after).min(deadline);
         tokio::select! {
@@ -207,8 +213,8 @@
             out = &mut fut => return Some(out),
             () = sleep_until(stall_at) => {}
         }
-        if stall_at.elapsed() < PAUSE {
-            self.stalled();
+        if stall_at.elapsed() < PAUSE_THRESHOLD {
+            self.report_stall();
         } else if stall_at > self.started {
             self.was_paused = true;
         }
@@ -220,12 +226,12 @@
     }
 }
 
-impl<S: Slot> Drop for Open<S> {
+impl<S: Slot> Drop for ActiveSlot<S> {
     fn drop(&mut self) {
         if let Some(slot) = self.slot.take()
             && !self.was_paused
         {
-            slot.end(self.race.ending(), self.heard.elapsed());
+            slot.end(self.race.ending(), self.last_activity.elapsed());
         }
     }
 }
--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -12,10 +12,10 @@
 use tokio::time::Instant;
 use upstream::{AnswerBody, Failure, Reuse};
 
+use crate::active_slot::{ActiveSlot, Race};
 use crate::body::{AnswerOut, RequestOut, Start};
 use crate::cx::Cx;
 use crate::headers;
-use crate::open::{Open, Race};
 use crate::relay::Relay;
 use crate::routed_request::RoutedRequest;
 use crate::{Dispatch, notice, trace};
@@ -75,36 +75,36 @@
     order: SendOrder,
 ) -> SendResult {
     let is_first = matches!(order, SendOrder::First(_));
-    let mut open = match order {
-        SendOrder::First(race) | SendOrder::Further(race) => Open::in_race(slot, race),
+    let mut active = match order {
+        SendOrder::First(race) | SendOrder::Further(race) => ActiveSlot::in_race(slot, race),
     };
-    let (slot_by, since) = (open.granted_by(), Instant::now());
-    let (tier, doubt) = (open.grant().tier, open.grant().doubt);
+    let (slot_by, since) = (active.granted_by(), Instant::now());
+    let (tier, doubt) = (active.grant().tier, active.grant().doubt);
     let span = request.span.child();
-    let req = request.upstream_request(&cx.names, &open.grant().endpoint, &span, body);
+    let req = request.upstream_request(&cx.names, &active.grant().endpoint, &span, body);
     let reuse = match request.route.repeat {
         Repeat::Anytime => Reuse::Allowed,
         Repeat::IfNotRun | Repeat::Never => Reuse::Never,
     };
-    let addr = open.addr();
-    let endpoint = open.grant().endpoint.clone();
+    let addr = active.addr();
+    let endpoint = active.grant().endpoint.clone();
     let send = cx.pool.send(addr, req, reuse);
-    let sent = match open.watch(send, request.give_up_at).await {
+    let sent = match active.run_until(send, request.give_up_at).await {
         None => {
-            open.end(Kind::TimedOut);
+            active.end(Kind::TimedOut);
             SendResult::TimedOut
         }
         Some(Err(error)) if error.failure.is_not_run() => {
             if matches!(error.failure, Failure::Connect(_)) {
                 cx.paths.failed(addr);
             }
-            open.end(Kind::Unreachable);
+            active.end(Kind::Unreachable);
             SendResult::Unreached(error.req.map(Request::into_body))
         }
-        Some(Err(_)) => end_broken(cx, open).await,
+        Some(Err(_)) => end_broken(cx, active).await,
         Some(Ok(res)) => {
             cx.paths.works(addr);
-            handle_answer(cx, request, open, res, is_first).await
+            handle_answer(cx, request, active, res, is_first).await
         }
     };
     cx.metrics.sends.with_label_values(&[sent.name()]).inc();
@@ -133,9 +133,9 @@
 }
 
 /// Ends a send whose connection broke before the answer was complete.
-async fn end_broken<D: Dispatch>(cx: &Cx<D>, open: Open<D::Slot>) -> SendResult {
-    let kind = classify_break(cx, open.addr()).await;
-    open.end(kind);
+async fn end_broken<D: Dispatch>(cx: &Cx<D>, active: ActiveSlot<D::Slot>) -> SendResult {
+    let kind = classify_break(cx, active.addr()).await;
+    active.end(kind);
     if kind == Kind::Crashed { SendResult::Crashed } else { SendResult::Unknown }
 }
 
@@ -150,7 +150,7 @@
 async fn handle_answer<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
-    mut open: Open<D::Slot>,
+    mut active: ActiveSlot<D::Slot>,
     res: Response<AnswerBody<RequestOut>>,
     is_first: bool,
 ) -> SendResult {
@@ -158,48 +158,48 @@
     // answers of two requests.
     let answered_id = res.headers().get(&cx.names.request_id);
     if answered_id.is_some_and(|it| Some(it) != request.headers.get(&cx.names.request_id)) {
-        open.end(Kind::Failed);
+        active.end(Kind::Failed);
         return SendResult::Unknown;
     }
     if res.status() == StatusCode::MISDIRECTED_REQUEST {
         // The address now belongs to a different endpoint; the intended one is gone.
-        open.end(Kind::Failed);
+        active.end(Kind::Failed);
         return SendResult::NotRun;
     }
-    notice::hear(cx, &mut open, &res);
+    notice::hear(cx, &mut active, &res);
     if res.headers().contains_key(&cx.names.not_run) && !res.status().is_success() {
         if is_first {
             cx.metrics.first_shed.inc();
         }
-        open.end(Kind::Shed);
+        active.end(Kind::Shed);
         return SendResult::NotRun;
     }
     let is_repeatable = request.route.repeat == Repeat::Anytime;
     if is_repeatable && res.headers().contains_key(CONTENT_ENCODING) {
-        open.end(Kind::Failed);
+        active.end(Kind::Failed);
         return SendResult::Unknown;
     }
     let is_failure = res.status().is_server_error();
     let (mut parts, body) = res.into_parts();
     headers::strip_hop_by_hop(&mut parts.headers);
     if !is_failure {
-        open.answered();
+        active.record_head();
     }
-    let start = match open.receive(body, request.give_up_at).await {
+    let start = match active.receive(body, request.give_up_at).await {
         None => {
-            open.end(Kind::TimedOut);
+            active.end(Kind::TimedOut);
             return SendResult::TimedOut;
         }
-        Some(Err(_)) => return end_broken(cx, open).await,
+        Some(Err(_)) => return end_broken(cx, active).await,
         Some(Ok(start)) => start,
     };
     let out = match start {
         Start::Whole(buf) => {
-            open.end(answer_kind(parts.status, request.left()));
+            active.end(answer_kind(parts.status, request.left()));
             AnswerOut::Whole(Full::new(buf))
         }
         Start::Long(start, body) => {
-            Relay::start(cx.clone(), request.clone(), open, &parts, start, body)
+            Relay::start(cx.clone(), request.clone(), active, &parts, start, body)
         }
     };
     let res = Response::from_parts(parts, out);
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -4,6 +4,7 @@
 //! that the caller can recognise as truncated, or with an error that states whether the request may
 //! have run. This crate must not depend on how nodes communicate; slots come from a [`Dispatch`].
 
+mod active_slot;
 mod answer;
 mod attempt;
 mod body;
@@ -17,7 +18,6 @@
 mod listener;
 mod metrics;
 mod notice;
-mod open;
 mod paths;
 mod relay;
 mod room;
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -17,10 +17,10 @@
 use tokio::time::{Instant, timeout};
 use upstream::{AnswerBody, Reuse};
 
+use crate::active_slot::{ActiveSlot, STALL_AFTER};
 use crate::attempt::classify_break;
 use crate::body::{AnswerOut, Part, RequestOut};
 use crate::cx::Cx;
-use crate::open::{Open, STALL_AFTER};
 use crate::routed_request::RoutedRequest;
 use crate::sending::acquire_open;
 use crate::{Dispatch, notice, trace};
@@ -38,7 +38,7 @@
 pub(crate) struct Relay<D: Dispatch> {
     cx: Arc<Cx<D>>,
     request: Arc<RoutedRequest>,
-    open: Open<D::Slot>,
+    active: ActiveSlot<D::Slot>,
     body: AnswerBody<RequestOut>,
     tx: mpsc::Sender<Part>,
     /// Number of bytes passed on to the caller.
@@ -69,15 +69,15 @@
     pub(crate) fn start(
         cx: Arc<Cx<D>>,
         request: Arc<RoutedRequest>,
-        mut open: Open<D::Slot>,
+        mut active: ActiveSlot<D::Slot>,
         parts: &response::Parts,
         start: Bytes,
         body: AnswerBody<RequestOut>,
     ) -> AnswerOut {
-        open.tell_beginning();
+        active.report_start();
         let (tx, rx) = mpsc::channel(PARTS_AHEAD);
         let resume = Resume::of(&request.method, parts);
-        tokio::spawn(Self { cx, request, open, body, tx, sent: 0, resume }.run(start));
+        tokio::spawn(Self { cx, request, active, body, tx, sent: 0, resume }.run(start));
         AnswerOut::Stream(rx)
     }
 
@@ -106,8 +106,8 @@
                     if matches!(step, Step::Broken) {
                         // Reported before the resume, so that dispatch takes the failure into
                         // account when it chooses the next endpoint.
-                        let kind = classify_break(&self.cx, self.open.addr()).await;
-                        self.open.give_back(kind);
+                        let kind = classify_break(&self.cx, self.active.addr()).await;
+                        self.active.release(kind);
                     }
                     match self.resume().await {
                         true => continue,
@@ -122,7 +122,7 @@
                 return;
             }
             if is_end {
-                self.open.end(Kind::Answered);
+                self.active.end(Kind::Answered);
                 return;
             }
         }
@@ -131,13 +131,13 @@
     /// Reads the next frame, and reports a stall.
     async fn step(&mut self) -> Step {
         let waiting_since = Instant::now();
-        self.open.heard();
+        self.active.record_activity();
         let frame = match timeout(STALL_AFTER, self.body.frame()).await {
             Ok(frame) => frame,
             // If the timer fires very late, this process was paused; the endpoint is not at fault.
             Err(_) if waiting_since.elapsed() > STALL_AFTER * 2 => return Step::Stalled,
             Err(_) => {
-                self.open.stalled();
+                self.active.report_stall();
                 if self.resume.is_some() {
                     return Step::Stalled;
                 }
@@ -163,7 +163,7 @@
             resume.left = left;
             if self.try_resume().await.is_some() {
                 self.cx.metrics.resumes.inc();
-                trace::continued(&self.cx, &self.request, &self.open.grant().endpoint, self.sent);
+                trace::continued(&self.cx, &self.request, &self.active.grant().endpoint, self.sent);
                 return true;
             }
         }
@@ -172,19 +172,19 @@
 
     /// Logs the abort and releases the slot.
     fn break_off(self, step: &Step) {
-        let endpoint = self.open.grant().endpoint.clone();
+        let endpoint = self.active.grant().endpoint.clone();
         let reason = match step {
             Step::Stalled => "the endpoint went silent in the middle of its answer",
             _ => "the endpoint broke off its answer",
         };
         trace::broken_off(&self.cx, &self.request, &endpoint, self.sent, reason);
-        self.open.end(Kind::Failed);
+        self.active.end(Kind::Failed);
     }
 
     /// Makes one attempt to resume.
     async fn try_resume(&mut self) -> Option<()> {
         let resume = self.resume.as_ref()?;
-        let mut want = self.request.slot_request(self.cx.paths.avoided(&[self.open.addr()]));
+        let mut want = self.request.slot_request(self.cx.paths.avoided(&[self.active.addr()]));
         want.left = RESUME_WITHIN;
         want.send = SendKind::Further;
         let acquire = acquire_open(&self.cx, want);
@@ -192,31 +192,31 @@
         if !self.request.is_still_authorized(&self.cx) {
             return None;
         }
-        let mut open = Open::new(slot);
+        let mut active = ActiveSlot::new(slot);
         let body = RequestOut::Held(Full::default());
         let span = self.request.span.child();
         let mut req =
-            self.request.upstream_request(&self.cx.names, &open.grant().endpoint, &span, body);
+            self.request.upstream_request(&self.cx.names, &active.grant().endpoint, &span, body);
         resume.ask(req.headers_mut(), self.sent);
-        let send = self.cx.pool.send(open.addr(), req, Reuse::Allowed);
+        let send = self.cx.pool.send(active.addr(), req, Reuse::Allowed);
         let res = match timeout(STALL_AFTER, send).await.ok()? {
             Ok(res) => res,
             Err(error) => {
                 if !error.failure.is_not_run() {
-                    let kind = classify_break(&self.cx, open.addr()).await;
-                    open.end(kind);
+                    let kind = classify_break(&self.cx, active.addr()).await;
+                    active.end(kind);
                 }
                 return None;
             }
         };
-        notice::hear(&self.cx, &mut open, &res);
+        notice::hear(&self.cx, &mut active, &res);
         if !resume.matches(&res, self.sent) {
             return None;
         }
-        open.answered();
-        open.tell_beginning();
+        active.record_head();
+        active.report_start();
         self.body = res.into_body();
-        let old = std::mem::replace(&mut self.open, open);
+        let old = std::mem::replace(&mut self.active, active);
         old.end(Kind::Failed);
         Some(())
     }
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -13,11 +13,11 @@
 use policy::{Attempt, Next, Outcome, SendKind, next_step};
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::active_slot::Race;
 use crate::answer::GiveUp;
 use crate::attempt::{SendOrder, SendResult, send_once};
 use crate::body::{AnswerOut, Received, RequestOut};
 use crate::cx::Cx;
-use crate::open::Race;
 use crate::routed_request::RoutedRequest;
 use crate::{Dispatch, Refused, Slot, Want, Why};
 
