--- a/crates/caller/src/active_slot.rs
+++ b/crates/caller/src/active_slot.rs
@@ -40,28 +40,28 @@
     is_stall_reported: bool,
     /// Whether the process was paused meanwhile. The outcome is then not reported.
     was_paused: bool,
-    race: Race,
+    race: HedgeRace,
 }
 
 /// A report about an answer that is still incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Report {
+enum ProgressReport {
     Started,
     Stalled,
 }
 
 /// Shared by a send and its hedge: set when the hedge was answered first.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Race(Arc<AtomicBool>);
+pub(crate) struct HedgeRace(Arc<AtomicBool>);
 
-impl Race {
+impl HedgeRace {
     /// Records that the hedge was answered first. The original send is dropped next.
-    pub(crate) fn is_lost(&self) {
+    pub(crate) fn mark_lost(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
     /// The outcome to report when the original send is dropped.
-    fn ending(&self) -> Kind {
+    fn kind_on_drop(&self) -> Kind {
         if self.0.load(Ordering::Relaxed) { Kind::Beaten } else { Kind::Abandoned }
     }
 }
@@ -69,11 +69,11 @@
 impl<S: Slot> ActiveSlot<S> {
     /// Starts the use of a slot for a send without a hedge.
     pub(crate) fn new(slot: S) -> Self {
-        Self::in_race(slot, Race::default())
+        Self::with_race(slot, HedgeRace::default())
     }
 
     /// Starts the use of a slot for a send that may be hedged.
-    pub(crate) fn in_race(slot: S, race: Race) -> Self {
+    pub(crate) fn with_race(slot: S, race: HedgeRace) -> Self {
         let grant = slot.grant().clone();
         let started = Moment::now();
         Self {
@@ -119,8 +119,8 @@
     /// Reports a notice from the endpoint. The absence of a rate limit is reported only if a limit
     /// was known before.
     pub(crate) fn report_notice(&mut self, notice: Notice) {
-        let is_relevant = self.grant.is_rate_limited || notice != Notice::RateLimit(None);
-        if let Some(slot) = self.slot.as_mut().filter(|_| is_relevant) {
+        let is_change = self.grant.is_rate_limited || notice != Notice::RateLimit(None);
+        if let Some(slot) = self.slot.as_mut().filter(|_| is_change) {
             slot.noticed(notice);
         }
     }
@@ -178,11 +178,11 @@
                 Some(Err(error)) => return Some(Err(error)),
                 None if deadline.left().is_zero() => return None,
                 None => match next_report {
-                    Some((_, Report::Started)) => self.report_start(),
-                    Some((at, Report::Stalled)) if at.elapsed() < PAUSE_THRESHOLD => {
+                    Some((_, ProgressReport::Started)) => self.report_start(),
+                    Some((at, ProgressReport::Stalled)) if at.elapsed() < PAUSE_THRESHOLD => {
                         self.report_stall()
                     }
-                    Some((_, Report::Stalled)) => self.was_paused = true,
+                    Some((_, ProgressReport::Stalled)) => self.was_paused = true,
                     None => {}
                 },
             }
@@ -190,13 +190,13 @@
     }
 
     /// The next report that is due for an answer that is being read, and when.
-    fn next_report(&self) -> Option<(Moment, Report)> {
+    fn next_report(&self) -> Option<(Moment, ProgressReport)> {
         match self.head_after {
             Some(after) if !self.is_start_reported => {
-                Some((self.started + after + REPORT_START_AFTER, Report::Started))
+                Some((self.started + after + REPORT_START_AFTER, ProgressReport::Started))
             }
             _ if self.is_stall_reported || self.was_paused => None,
-            _ => Some((self.last_activity + STALL_AFTER, Report::Stalled)),
+            _ => Some((self.last_activity + STALL_AFTER, ProgressReport::Stalled)),
         }
     }
 
@@ -231,7 +231,7 @@
         if let Some(slot) = self.slot.take()
             && !self.was_paused
         {
-            slot.end(self.race.ending(), self.last_activity.elapsed());
+            slot.end(self.race.kind_on_drop(), self.last_activity.elapsed());
         }
     }
 }
--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use upstream::{AnswerBody, Failure, Reuse};
 
-use crate::active_slot::{ActiveSlot, Race};
+use crate::active_slot::{ActiveSlot, HedgeRace};
 use crate::body::{AnswerOut, RequestOut, Start};
 use crate::cx::Cx;
 use crate::headers;
@@ -61,9 +61,9 @@
 /// Whether a send is the first one of its request.
 pub(crate) enum SendOrder {
     /// The first send.
-    First(Race),
+    First(HedgeRace),
     /// A repeat or a hedge.
-    Further(Race),
+    Further(HedgeRace),
 }
 
 /// Sends the request once on `slot` and reports the outcome to dispatch, metrics and log.
@@ -75,36 +75,36 @@
     order: SendOrder,
 ) -> SendResult {
     let is_first = matches!(order, SendOrder::First(_));
-    let mut active = match order {
-        SendOrder::First(race) | SendOrder::Further(race) => ActiveSlot::in_race(slot, race),
+    let mut active_slot = match order {
+        SendOrder::First(race) | SendOrder::Further(race) => ActiveSlot::with_race(slot, race),
     };
-    let (slot_by, since) = (active.granted_by(), Instant::now());
-    let (tier, doubt) = (active.grant().tier, active.grant().doubt);
+    let (slot_by, since) = (active_slot.granted_by(), Instant::now());
+    let (tier, doubt) = (active_slot.grant().tier, active_slot.grant().doubt);
     let span = request.span.child();
-    let req = request.upstream_request(&cx.names, &active.grant().endpoint, &span, body);
+    let req = request.upstream_request(&cx.names, &active_slot.grant().endpoint, &span, body);
     let reuse = match request.route.repeat {
         Repeat::Anytime => Reuse::Allowed,
         Repeat::IfNotRun | Repeat::Never => Reuse::Never,
     };
-    let addr = active.addr();
-    let endpoint = active.grant().endpoint.clone();
+    let addr = active_slot.addr();
+    let endpoint = active_slot.grant().endpoint.clone();
     let send = cx.pool.send(addr, req, reuse);
-    let sent = match active.run_until(send, request.give_up_at).await {
+    let sent = match active_slot.run_until(send, request.give_up_at).await {
         None => {
-            active.end(Kind::TimedOut);
+            active_slot.end(Kind::TimedOut);
             SendResult::TimedOut
         }
         Some(Err(error)) if error.failure.is_not_run() => {
             if matches!(error.failure, Failure::Connect(_)) {
                 cx.paths.failed(addr);
             }
-            active.end(Kind::Unreachable);
+            active_slot.end(Kind::Unreachable);
             SendResult::Unreached(error.req.map(Request::into_body))
         }
-        Some(Err(_)) => end_broken(cx, active).await,
+        Some(Err(_)) => end_broken(cx, active_slot).await,
         Some(Ok(res)) => {
             cx.paths.works(addr);
-            handle_answer(cx, request, active, res, is_first).await
+            handle_answer(cx, request, active_slot, res, is_first).await
         }
     };
     cx.metrics.sends.with_label_values(&[sent.name()]).inc();
@@ -133,9 +133,9 @@
 }
 
 /// Ends a send whose connection broke before the answer was complete.
-async fn end_broken<D: Dispatch>(cx: &Cx<D>, active: ActiveSlot<D::Slot>) -> SendResult {
-    let kind = classify_break(cx, active.addr()).await;
-    active.end(kind);
+async fn end_broken<D: Dispatch>(cx: &Cx<D>, active_slot: ActiveSlot<D::Slot>) -> SendResult {
+    let kind = classify_break(cx, active_slot.addr()).await;
+    active_slot.end(kind);
     if kind == Kind::Crashed { SendResult::Crashed } else { SendResult::Unknown }
 }
 
@@ -150,7 +150,7 @@
 async fn handle_answer<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
-    mut active: ActiveSlot<D::Slot>,
+    mut active_slot: ActiveSlot<D::Slot>,
     res: Response<AnswerBody<RequestOut>>,
     is_first: bool,
 ) -> SendResult {
@@ -158,48 +158,48 @@
     // answers of two requests.
     let answered_id = res.headers().get(&cx.names.request_id);
     if answered_id.is_some_and(|it| Some(it) != request.headers.get(&cx.names.request_id)) {
-        active.end(Kind::Failed);
+        active_slot.end(Kind::Failed);
         return SendResult::Unknown;
     }
     if res.status() == StatusCode::MISDIRECTED_REQUEST {
         // The address now belongs to a different endpoint; the intended one is gone.
-        active.end(Kind::Failed);
+        active_slot.end(Kind::Failed);
         return SendResult::NotRun;
     }
-    notice::hear(cx, &mut active, &res);
+    notice::hear(cx, &mut active_slot, &res);
     if res.headers().contains_key(&cx.names.not_run) && !res.status().is_success() {
         if is_first {
             cx.metrics.first_shed.inc();
         }
-        active.end(Kind::Shed);
+        active_slot.end(Kind::Shed);
         return SendResult::NotRun;
     }
     let is_repeatable = request.route.repeat == Repeat::Anytime;
     if is_repeatable && res.headers().contains_key(CONTENT_ENCODING) {
-        active.end(Kind::Failed);
+        active_slot.end(Kind::Failed);
         return SendResult::Unknown;
     }
     let is_failure = res.status().is_server_error();
     let (mut parts, body) = res.into_parts();
     headers::strip_hop_by_hop(&mut parts.headers);
     if !is_failure {
-        active.record_head();
+        active_slot.record_head();
     }
-    let start = match active.receive(body, request.give_up_at).await {
+    let start = match active_slot.receive(body, request.give_up_at).await {
         None => {
-            active.end(Kind::TimedOut);
+            active_slot.end(Kind::TimedOut);
             return SendResult::TimedOut;
         }
-        Some(Err(_)) => return end_broken(cx, active).await,
+        Some(Err(_)) => return end_broken(cx, active_slot).await,
         Some(Ok(start)) => start,
     };
     let out = match start {
         Start::Whole(buf) => {
-            active.end(answer_kind(parts.status, request.left()));
+            active_slot.end(answer_kind(parts.status, request.left()));
             AnswerOut::Whole(Full::new(buf))
         }
         Start::Long(start, body) => {
-            Relay::start(cx.clone(), request.clone(), active, &parts, start, body)
+            Relay::start(cx.clone(), request.clone(), active_slot, &parts, start, body)
         }
     };
     let res = Response::from_parts(parts, out);
--- a/crates/caller/src/notice.rs
+++ b/crates/caller/src/notice.rs
@@ -10,7 +10,7 @@
 /// Reports the notices in an answer. An answer 421 is ignored: a different endpoint sent it.
 pub(crate) fn hear<D: Dispatch, B>(
     cx: &Cx<D>,
-    active: &mut ActiveSlot<D::Slot>,
+    active_slot: &mut ActiveSlot<D::Slot>,
     res: &Response<B>,
 ) {
     if res.status() == StatusCode::MISDIRECTED_REQUEST {
@@ -20,16 +20,16 @@
         // The missing header of an error answer does not lift a rate limit: the error may occur
         // before the endpoint sets its headers.
         Ok(None) if res.status().is_server_error() => {}
-        Ok(limit) => active.report_notice(Notice::RateLimit(limit)),
-        Err(e) => trace::bad_answer(&cx.log, &active.grant().endpoint, &e),
+        Ok(limit) => active_slot.report_notice(Notice::RateLimit(limit)),
+        Err(e) => trace::bad_answer(&cx.log, &active_slot.grant().endpoint, &e),
     }
     if headers::is_leaving(&cx.names, res.headers()) {
-        active.report_notice(Notice::Leaving);
+        active_slot.report_notice(Notice::Leaving);
     }
     if res.status() == StatusCode::SERVICE_UNAVAILABLE {
         match headers::rest_of(res.headers()) {
-            Ok(rest) => rest.into_iter().for_each(|it| active.report_notice(Notice::Rest(it))),
-            Err(e) => trace::bad_answer(&cx.log, &active.grant().endpoint, &e),
+            Ok(rest) => rest.into_iter().for_each(|it| active_slot.report_notice(Notice::Rest(it))),
+            Err(e) => trace::bad_answer(&cx.log, &active_slot.grant().endpoint, &e),
         }
     }
 }
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -38,7 +38,7 @@
 pub(crate) struct Relay<D: Dispatch> {
     cx: Arc<Cx<D>>,
     request: Arc<RoutedRequest>,
-    active: ActiveSlot<D::Slot>,
+    active_slot: ActiveSlot<D::Slot>,
     body: AnswerBody<RequestOut>,
     tx: mpsc::Sender<Part>,
     /// Number of bytes passed on to the caller.
@@ -69,15 +69,15 @@
     pub(crate) fn start(
         cx: Arc<Cx<D>>,
         request: Arc<RoutedRequest>,
-        mut active: ActiveSlot<D::Slot>,
+        mut active_slot: ActiveSlot<D::Slot>,
         parts: &response::Parts,
         start: Bytes,
         body: AnswerBody<RequestOut>,
     ) -> AnswerOut {
-        active.report_start();
+        active_slot.report_start();
         let (tx, rx) = mpsc::channel(PARTS_AHEAD);
         let resume = Resume::of(&request.method, parts);
-        tokio::spawn(Self { cx, request, active, body, tx, sent: 0, resume }.run(start));
+        tokio::spawn(Self { cx, request, active_slot, body, tx, sent: 0, resume }.run(start));
         AnswerOut::Stream(rx)
     }
 
@@ -106,8 +106,8 @@
                     if matches!(step, Step::Broken) {
                         // Reported before the resume, so that dispatch takes the failure into
                         // account when it chooses the next endpoint.
-                        let kind = classify_break(&self.cx, self.active.addr()).await;
-                        self.active.release(kind);
+                        let kind = classify_break(&self.cx, self.active_slot.addr()).await;
+                        self.active_slot.release(kind);
                     }
                     match self.resume().await {
                         true => continue,
@@ -122,7 +122,7 @@
                 return;
             }
             if is_end {
-                self.active.end(Kind::Answered);
+                self.active_slot.end(Kind::Answered);
                 return;
             }
         }
@@ -131,13 +131,13 @@
     /// Reads the next frame, and reports a stall.
     async fn step(&mut self) -> Step {
         let waiting_since = Instant::now();
-        self.active.record_activity();
+        self.active_slot.record_activity();
         let frame = match timeout(STALL_AFTER, self.body.frame()).await {
             Ok(frame) => frame,
             // If the timer fires very late, this process was paused; the endpoint is not at fault.
             Err(_) if waiting_since.elapsed() > STALL_AFTER * 2 => return Step::Stalled,
             Err(_) => {
-                self.active.report_stall();
+                self.active_slot.report_stall();
                 if self.resume.is_some() {
                     return Step::Stalled;
                 }
@@ -163,7 +163,12 @@
             resume.left = left;
             if self.try_resume().await.is_some() {
                 self.cx.metrics.resumes.inc();
-                trace::continued(&self.cx, &self.request, &self.active.grant().endpoint, self.sent);
+                trace::continued(
+                    &self.cx,
+                    &self.request,
+                    &self.active_slot.grant().endpoint,
+                    self.sent,
+                );
                 return true;
             }
         }
@@ -172,19 +177,19 @@
 
     /// Logs the abort and releases the slot.
     fn break_off(self, step: &Step) {
-        let endpoint = self.active.grant().endpoint.clone();
+        let endpoint = self.active_slot.grant().endpoint.clone();
         let reason = match step {
             Step::Stalled => "the endpoint went silent in the middle of its answer",
             _ => "the endpoint broke off its answer",
         };
         trace::broken_off(&self.cx, &self.request, &endpoint, self.sent, reason);
-        self.active.end(Kind::Failed);
+        self.active_slot.end(Kind::Failed);
     }
 
     /// Makes one attempt to resume.
     async fn try_resume(&mut self) -> Option<()> {
         let resume = self.resume.as_ref()?;
-        let mut want = self.request.slot_request(self.cx.paths.avoided(&[self.active.addr()]));
+        let mut want = self.request.slot_request(self.cx.paths.avoided(&[self.active_slot.addr()]));
         want.left = RESUME_WITHIN;
         want.send = SendKind::Further;
         let acquire = acquire_open(&self.cx, want);
@@ -192,31 +197,35 @@
         if !self.request.is_still_authorized(&self.cx) {
             return None;
         }
-        let mut active = ActiveSlot::new(slot);
+        let mut active_slot = ActiveSlot::new(slot);
         let body = RequestOut::Held(Full::default());
         let span = self.request.span.child();
-        let mut req =
-            self.request.upstream_request(&self.cx.names, &active.grant().endpoint, &span, body);
+        let mut req = self.request.upstream_request(
+            &self.cx.names,
+            &active_slot.grant().endpoint,
+            &span,
+            body,
+        );
         resume.ask(req.headers_mut(), self.sent);
-        let send = self.cx.pool.send(active.addr(), req, Reuse::Allowed);
+        let send = self.cx.pool.send(active_slot.addr(), req, Reuse::Allowed);
         let res = match timeout(STALL_AFTER, send).await.ok()? {
             Ok(res) => res,
             Err(error) => {
                 if !error.failure.is_not_run() {
-                    let kind = classify_break(&self.cx, active.addr()).await;
-                    active.end(kind);
+                    let kind = classify_break(&self.cx, active_slot.addr()).await;
+                    active_slot.end(kind);
                 }
                 return None;
             }
         };
-        notice::hear(&self.cx, &mut active, &res);
+        notice::hear(&self.cx, &mut active_slot, &res);
         if !resume.matches(&res, self.sent) {
             return None;
         }
-        active.record_head();
-        active.report_start();
+        active_slot.record_head();
+        active_slot.report_start();
         self.body = res.into_body();
-        let old = std::mem::replace(&mut self.active, active);
+        let old = std::mem::replace(&mut self.active_slot, active_slot);
         old.end(Kind::Failed);
         Some(())
     }
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -13,7 +13,7 @@
 use policy::{Attempt, Next, Outcome, SendKind, next_step};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::active_slot::Race;
+use crate::active_slot::HedgeRace;
 use crate::answer::GiveUp;
 use crate::attempt::{SendOrder, SendResult, send_once};
 use crate::body::{AnswerOut, Received, RequestOut};
@@ -195,7 +195,7 @@
         _ => None,
     };
     progress.tried.push(grant.addr);
-    let race = Race::default();
+    let race = HedgeRace::default();
     let order = match progress.reached {
         0 => SendOrder::First(race.clone()),
         _ => SendOrder::Further(race.clone()),
@@ -222,7 +222,7 @@
         },
         hedge = &mut second => match hedge {
             Some(SendResult::Answer(_)) => {
-                race.is_lost();
+                race.mark_lost();
                 return hedge.unwrap_or(SendResult::Unknown);
             }
             _ => (first.await, hedge),
@@ -272,6 +272,6 @@
     }
     is_sent.store(true, Ordering::Relaxed);
     cx.metrics.hedges.inc();
-    let order = SendOrder::Further(Race::default());
+    let order = SendOrder::Further(HedgeRace::default());
     Some(send_once(cx, request, slot, RequestOut::Held(body), order).await)
 }
