--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -22,7 +22,7 @@
 use crate::body::{AnswerOut, Part, RequestOut};
 use crate::cx::Cx;
 use crate::routed_request::RoutedRequest;
-use crate::sending::acquire_open;
+use crate::sending::acquire_skipping_closed;
 use crate::{Dispatch, notice, trace};
 
 /// A stalled body that cannot be resumed elsewhere is aborted after this additional time.
@@ -189,10 +189,11 @@
     /// Makes one attempt to resume.
     async fn try_resume(&mut self) -> Option<()> {
         let resume = self.resume.as_ref()?;
-        let mut want = self.request.slot_request(self.cx.paths.avoided(&[self.active_slot.addr()]));
-        want.left = RESUME_WITHIN;
-        want.send = SendKind::Further;
-        let acquire = acquire_open(&self.cx, want);
+        let mut slot_request =
+            self.request.slot_request(self.cx.paths.avoided(&[self.active_slot.addr()]));
+        slot_request.left = RESUME_WITHIN;
+        slot_request.send = SendKind::Further;
+        let acquire = acquire_skipping_closed(&self.cx, slot_request);
         let slot = timeout(RESUME_WITHIN, acquire).await.ok()?.ok()?;
         if !self.request.is_still_authorized(&self.cx) {
             return None;
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -27,17 +27,17 @@
 const RETRY_AFTER_FAILURE: Duration = Duration::from_millis(250);
 /// Maximum number of sends that fail to connect. Such sends put no load on the service, but each
 /// one can take up to a connect timeout of the caller's deadline.
-const MAX_UNREACHED: u32 = 6;
+const MAX_UNREACHED_SENDS: u32 = 6;
 /// Divides the hedge delay for endpoints on trial, so that a trial does not add much latency for
 /// the caller.
-const TRIAL_HEDGE_PART: u32 = 2;
+const TRIAL_HEDGE_DIVISOR: u32 = 2;
 
 /// Maximum number of acquire calls for one send when every granted slot belongs to an endpoint that
 /// currently accepts no requests from this node.
-const MAX_CLOSED: u32 = 4;
+const MAX_CLOSED_GRANTS: u32 = 4;
 /// Delay before a hedge asks for a slot again when no good endpoint was free. A third of the
 /// duration of a short request.
-const HEDGE_AGAIN: Duration = Duration::from_millis(50);
+const HEDGE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The sends of a request so far.
 #[derive(Debug, Default)]
@@ -59,38 +59,44 @@
     body: &mut Received,
 ) -> Result<Response<AnswerOut>, GiveUp> {
     let mut progress = Progress::default();
-    let mut failure = None;
+    let mut error_answer = None;
     loop {
-        let want = Want {
+        let slot_request = Want {
             send: progress.send_kind(),
             is_last: request.is_last_send(progress.reached),
             ..request.slot_request(cx.paths.avoided(&progress.tried))
         };
-        let slot = match acquire(cx, request, want).await {
+        let slot = match acquire(cx, request, slot_request).await {
             Ok(slot) => slot,
-            Err(refused) => return end(failure, refused, &progress),
+            Err(refused) => return final_result(error_answer, refused, &progress),
         };
         if !request.is_still_authorized(cx) {
             return match progress.reached {
                 0 => Err(GiveUp::key_taken_away()),
-                _ => end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress),
+                _ => {
+                    final_result(error_answer, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress)
+                }
             };
         }
         // A streamed body can be sent only once. The deadline is checked again because the process
         // may have been suspended during the wait for a slot, and nothing is sent after the
         // deadline.
-        let Some(out) = body.next().filter(|_| !request.left().is_zero()) else {
-            return end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress);
+        let Some(next_body) = body.next().filter(|_| !request.left().is_zero()) else {
+            return final_result(
+                error_answer,
+                Refused::no_capacity(RETRY_AFTER_FAILURE),
+                &progress,
+            );
         };
-        let sent = hedged(cx, request, slot, out, &mut progress).await;
-        let (outcome, timed_out) = match sent {
+        let result = send_hedged(cx, request, slot, next_body, &mut progress).await;
+        let (outcome, timed_out) = match result {
             SendResult::Answer(res) => return Ok(res),
             SendResult::Failure(res) => {
-                failure = Some(res);
+                error_answer = Some(res);
                 (Outcome::Unknown, false)
             }
-            SendResult::Unreached(back) => {
-                back.into_iter().for_each(|it| body.put_back(it));
+            SendResult::Unreached(unsent) => {
+                unsent.into_iter().for_each(|it| body.put_back(it));
                 (Outcome::NotRun, false)
             }
             SendResult::NotRun => (Outcome::NotRun, false),
@@ -102,12 +108,12 @@
         let retry_after = RETRY_AFTER_FAILURE;
         match next {
             Next::Again => continue,
-            _ if failure.is_some() => {}
+            _ if error_answer.is_some() => {}
             Next::GiveUpNotRun => return Err(GiveUp::not_run(retry_after)),
             _ if timed_out => return Err(GiveUp::timed_out(retry_after)),
             _ => return Err(GiveUp::unknown(retry_after)),
         }
-        return end(failure, Refused::no_capacity(retry_after), &progress);
+        return final_result(error_answer, Refused::no_capacity(retry_after), &progress);
     }
 }
 
@@ -126,7 +132,11 @@
             repeat: request.route.repeat,
             unknown_before: self.unknown_before,
             sends: self.reached,
-            max_sends: if self.unreached < MAX_UNREACHED { request.route.max_sends } else { 0 },
+            max_sends: if self.unreached < MAX_UNREACHED_SENDS {
+                request.route.max_sends
+            } else {
+                0
+            },
             left: request.left(),
         };
         next_step(outcome, attempt)
@@ -135,12 +145,12 @@
 
 /// The result of a request that is not sent again. An error answer from an endpoint is passed on to
 /// the caller if there is one.
-fn end(
-    failure: Option<Response<AnswerOut>>,
+fn final_result(
+    error_answer: Option<Response<AnswerOut>>,
     refused: Refused,
     progress: &Progress,
 ) -> Result<Response<AnswerOut>, GiveUp> {
-    match failure {
+    match error_answer {
         Some(res) => Ok(res),
         None if progress.unknown_before => Err(GiveUp::unknown(refused.retry_after)),
         None if progress.reached > 0 => Err(GiveUp::not_run(refused.retry_after)),
@@ -155,25 +165,25 @@
 async fn acquire<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &RoutedRequest,
-    want: Want,
+    slot_request: Want,
 ) -> Result<D::Slot, Refused> {
-    let since = Instant::now();
-    let slot = clock::timeout_at(request.deadline, acquire_open(cx, want)).await;
-    request.record_slot_wait(since.elapsed());
-    cx.metrics.slot_wait.observe(since.elapsed().as_secs_f64());
+    let started = Instant::now();
+    let slot = clock::timeout_at(request.deadline, acquire_skipping_closed(cx, slot_request)).await;
+    request.record_slot_wait(started.elapsed());
+    cx.metrics.slot_wait.observe(started.elapsed().as_secs_f64());
     slot.unwrap_or(Err(Refused::no_capacity(RETRY_AFTER_FAILURE)))
 }
 
 /// Acquires a slot, and asks again if the granted slot belongs to an endpoint that currently
 /// accepts no requests from this node.
-pub(crate) async fn acquire_open<D: Dispatch>(
+pub(crate) async fn acquire_skipping_closed<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    mut want: Want,
+    mut slot_request: Want,
 ) -> Result<D::Slot, Refused> {
-    for _ in 0..MAX_CLOSED {
-        match cx.dispatch.acquire(want.clone()).await {
-            Err(Refused { why: Why::Closed, .. }) => want.send = want.send.again(),
-            settled => return settled,
+    for _ in 0..MAX_CLOSED_GRANTS {
+        match cx.dispatch.acquire(slot_request.clone()).await {
+            Err(Refused { why: Why::Closed, .. }) => slot_request.send = slot_request.send.again(),
+            result => return result,
         }
     }
     Err(Refused::no_capacity(RETRY_AFTER_FAILURE))
@@ -181,7 +191,7 @@
 
 /// Sends once and, on routes that allow hedging, starts a second concurrent send when the first one
 /// takes longer than the hedge delay of its grant.
-async fn hedged<D: Dispatch>(
+async fn send_hedged<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     slot: D::Slot,
@@ -190,7 +200,7 @@
 ) -> SendResult {
     let grant = slot.grant().clone();
     let may_hedge = request.route.hedge && progress.reached + 1 < request.route.max_sends;
-    let copy = match &body {
+    let hedge_body = match &body {
         RequestOut::Held(it) if may_hedge => Some(it.clone()),
         _ => None,
     };
@@ -201,16 +211,16 @@
         _ => SendOrder::Further(race.clone()),
     };
     let mut first = pin!(send_once(cx, request, slot, body, order));
-    let Some(copy) = copy else { return progress.count(first.await) };
-    let part = if grant.trial { TRIAL_HEDGE_PART } else { 1 };
-    let patience = grant.hedge_after / part;
-    if let Ok(sent) = timeout(patience, &mut first).await {
-        return progress.count(sent);
+    let Some(hedge_body) = hedge_body else { return progress.count_send(first.await) };
+    let divisor = if grant.trial { TRIAL_HEDGE_DIVISOR } else { 1 };
+    let hedge_delay = grant.hedge_after / divisor;
+    if let Ok(sent) = timeout(hedge_delay, &mut first).await {
+        return progress.count_send(sent);
     }
     progress.reached += 1;
     let is_sent = AtomicBool::new(false);
     let avoid = cx.paths.avoided(&progress.tried);
-    let mut second = pin!(second_send(cx, request, avoid, copy, &is_sent));
+    let mut second = pin!(send_hedge(cx, request, avoid, hedge_body, &is_sent));
     let (sent, hedge) = tokio::select! {
         biased;
         sent = &mut first => match sent {
@@ -239,7 +249,7 @@
 
 impl Progress {
     /// Counts a send as reached or unreached and returns it.
-    fn count(&mut self, sent: SendResult) -> SendResult {
+    fn count_send(&mut self, sent: SendResult) -> SendResult {
         match sent {
             SendResult::Unreached(_) => self.unreached += 1,
             _ => self.reached += 1,
@@ -250,7 +260,7 @@
 
 /// Sends the hedge. It needs a good endpoint with a free slot and polls for one until the deadline.
 /// Sets `is_sent` just before the send; returns `None` if the hedge was never sent.
-async fn second_send<D: Dispatch>(
+async fn send_hedge<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     avoid: Vec<SocketAddr>,
@@ -258,13 +268,13 @@
     is_sent: &AtomicBool,
 ) -> Option<SendResult> {
     let slot = loop {
-        let want =
+        let slot_request =
             Want { send: SendKind::Further, wait: false, ..request.slot_request(avoid.clone()) };
-        match acquire(cx, request, want).await {
+        match acquire(cx, request, slot_request).await {
             Ok(slot) => break slot,
             Err(Refused { why: Why::CrashesEndpoints, .. }) => return None,
-            Err(_) if request.left() <= HEDGE_AGAIN => return None,
-            Err(_) => sleep(HEDGE_AGAIN).await,
+            Err(_) if request.left() <= HEDGE_RETRY_DELAY => return None,
+            Err(_) => sleep(HEDGE_RETRY_DELAY).await,
         }
     };
     if !request.is_still_authorized(cx) {
