--- a/crates/caller/src/active_slot.rs
+++ b/crates/caller/src/active_slot.rs
@@ -13,7 +13,7 @@
 use policy::{Grant, Kind, Notice};
 
 use crate::Slot;
-use crate::body::{Reading, Start};
+use crate::body::{AnswerReader, AnswerStart};
 
 /// A timer that fires later than this indicates that the process was paused. The delay is then not
 /// attributed to the endpoint.
@@ -164,15 +164,15 @@
         &mut self,
         body: B,
         deadline: Moment,
-    ) -> Option<Result<Start<B>, B::Error>>
+    ) -> Option<Result<AnswerStart<B>, B::Error>>
     where
         B: Body<Data = Bytes> + Unpin,
     {
-        let mut reading = Reading::new(body);
+        let mut reader = AnswerReader::new(body);
         loop {
             let next_report = self.next_report();
             let until = next_report.map_or(deadline, |(at, _)| at.min(deadline));
-            match timeout_at(until, reading.step()).await {
+            match timeout_at(until, reader.read_frame()).await {
                 Some(Ok(Some(start))) => return Some(Ok(start)),
                 Some(Ok(None)) => self.record_activity(),
                 Some(Err(error)) => return Some(Err(error)),
--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -7,7 +7,7 @@
 use http::{Response, StatusCode};
 use http_body_util::Full;
 
-use crate::body::AnswerOut;
+use crate::body::ResponseBody;
 
 /// Header of error answers: `not-run` if the request certainly did not run, `unknown` if it may
 /// have run.
@@ -127,7 +127,7 @@
     }
 
     /// The answer to the caller.
-    pub(crate) fn response(self) -> Response<AnswerOut> {
+    pub(crate) fn response(self) -> Response<ResponseBody> {
         let text = format!("{}: {}; come back after Retry-After\n", self.outcome(), self.reason);
         let mut res = plain(self.status, text.into());
         let headers = res.headers_mut();
@@ -145,14 +145,14 @@
 }
 
 /// The answer to a request that is malformed, not authorized or matches no route, and was not run.
-pub(crate) fn refuse(status: StatusCode, text: &'static str) -> Response<AnswerOut> {
+pub(crate) fn refuse(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut res = plain(status, Bytes::from_static(text.as_bytes()));
     res.headers_mut().insert(OUTCOME_HEADER, HeaderValue::from_static("not-run"));
     res
 }
 
-fn plain(status: StatusCode, text: Bytes) -> Response<AnswerOut> {
-    let mut res = Response::new(AnswerOut::Whole(Full::new(text)));
+fn plain(status: StatusCode, text: Bytes) -> Response<ResponseBody> {
+    let mut res = Response::new(ResponseBody::Complete(Full::new(text)));
     *res.status_mut() = status;
     let text = HeaderValue::from_static("text/plain; charset=utf-8");
     res.headers_mut().insert(header::CONTENT_TYPE, text);
--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -13,7 +13,7 @@
 use upstream::{AnswerBody, Failure, Reuse};
 
 use crate::active_slot::{ActiveSlot, HedgeRace};
-use crate::body::{AnswerOut, RequestOut, Start};
+use crate::body::{AnswerStart, RequestBody, ResponseBody};
 use crate::cx::Cx;
 use crate::headers;
 use crate::relay::Relay;
@@ -27,11 +27,11 @@
 /// How one send ended.
 pub(crate) enum SendResult {
     /// An answer for the caller.
-    Answer(Response<AnswerOut>),
+    Answer(Response<ResponseBody>),
     /// A server error from the endpoint, to a request that may be sent again.
-    Failure(Response<AnswerOut>),
+    Failure(Response<ResponseBody>),
     /// Nothing was written to the endpoint. Returns the body if it is still available.
-    Unreached(Option<RequestOut>),
+    Unreached(Option<RequestBody>),
     /// The endpoint reports that it has not run the request.
     NotRun,
     /// The request may have run.
@@ -71,7 +71,7 @@
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     slot: D::Slot,
-    body: RequestOut,
+    body: RequestBody,
     order: SendOrder,
 ) -> SendResult {
     let is_first = matches!(order, SendOrder::First(_));
@@ -151,7 +151,7 @@
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     mut active_slot: ActiveSlot<D::Slot>,
-    res: Response<AnswerBody<RequestOut>>,
+    res: Response<AnswerBody<RequestBody>>,
     is_first: bool,
 ) -> SendResult {
     // If the answer carries a request ID, the ID must match: the endpoint may have mixed up the
@@ -194,11 +194,11 @@
         Some(Ok(start)) => start,
     };
     let out = match start {
-        Start::Whole(buf) => {
+        AnswerStart::Complete(buf) => {
             active_slot.end(answer_kind(parts.status, request.left()));
-            AnswerOut::Whole(Full::new(buf))
+            ResponseBody::Complete(Full::new(buf))
         }
-        Start::Long(start, body) => {
+        AnswerStart::Partial(start, body) => {
             Relay::start(cx.clone(), request.clone(), active_slot, &parts, start, body)
         }
     };
--- a/crates/caller/src/body.rs
+++ b/crates/caller/src/body.rs
@@ -13,9 +13,9 @@
 
 /// Request bodies up to this length are always kept until the request is answered, so that it can
 /// be sent again.
-const HOLD_BYTES: usize = 64 * 1024;
+const ALWAYS_KEPT_BYTES: usize = 64 * 1024;
 /// Request bodies up to this length are kept while the node's memory budget for long bodies allows.
-const HOLD_IN_ROOM_BYTES: usize = 1024 * 1024;
+const MAX_KEPT_BYTES: usize = 1024 * 1024;
 
 /// Why a body could not be read to its end.
 #[derive(Clone, Debug, thiserror::Error)]
@@ -29,24 +29,24 @@
 }
 
 /// Body of an answer to a caller.
-pub(crate) enum AnswerOut {
+pub(crate) enum ResponseBody {
     /// A complete body.
-    Whole(Full<Bytes>),
+    Complete(Full<Bytes>),
     /// A body that is still arriving. It is complete only after `Part::End`; a channel that closes
     /// without it aborts the answer, so that a failure of the relay cannot look like a complete
     /// answer.
-    Stream(mpsc::Receiver<Part>),
+    Streamed(mpsc::Receiver<RelayItem>),
 }
 
 /// A message from the relay to the body of the caller's answer.
-pub(crate) enum Part {
+pub(crate) enum RelayItem {
     /// Data or trailers.
     Frame(Frame<Bytes>),
     /// The answer is complete.
     End,
 }
 
-impl Part {
+impl RelayItem {
     /// Number of data bytes.
     pub(crate) fn len(&self) -> u64 {
         match self {
@@ -56,7 +56,7 @@
     }
 }
 
-impl Body for AnswerOut {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -65,46 +65,46 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
-            Self::Stream(it) => match ready!(it.poll_recv(cx)) {
-                Some(Part::Frame(frame)) => Poll::Ready(Some(Ok(frame))),
-                Some(Part::End) => Poll::Ready(None),
+            Self::Complete(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
+            Self::Streamed(it) => match ready!(it.poll_recv(cx)) {
+                Some(RelayItem::Frame(frame)) => Poll::Ready(Some(Ok(frame))),
+                Some(RelayItem::End) => Poll::Ready(None),
                 None => Poll::Ready(Some(Err(BodyError::Upstream))),
             },
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(it) if it.is_end_stream())
+        matches!(self, Self::Complete(it) if it.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(it) => it.size_hint(),
-            Self::Stream(_) => SizeHint::default(),
+            Self::Complete(it) => it.size_hint(),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
 /// Body of a request on its way to an upstream.
-pub(crate) enum RequestOut {
+pub(crate) enum RequestBody {
     /// A complete body. Clones share the buffer.
-    Held(Full<Bytes>),
+    Complete(Full<Bytes>),
     /// A body that is passed on as it arrives. It can be sent only once.
-    Stream(StreamOut),
+    Streamed(StreamedBody),
 }
 
 /// A request body that is too long to keep: the start that was already read, and the rest.
-pub(crate) struct StreamOut {
+pub(crate) struct StreamedBody {
     start: Bytes,
     rest: Incoming,
     /// Bytes that may still be read from `rest`.
-    left: u64,
+    remaining: u64,
     /// Maximum length of the body.
     limit: u64,
 }
 
-impl Body for RequestOut {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -113,27 +113,27 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Held(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
-            Self::Stream(it) => it.poll_frame(cx),
+            Self::Complete(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
+            Self::Streamed(it) => it.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Held(it) => it.is_end_stream(),
-            Self::Stream(it) => it.start.is_empty() && it.rest.is_end_stream(),
+            Self::Complete(it) => it.is_end_stream(),
+            Self::Streamed(it) => it.start.is_empty() && it.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Held(it) => it.size_hint(),
-            Self::Stream(it) => it.size_hint(),
+            Self::Complete(it) => it.size_hint(),
+            Self::Streamed(it) => it.size_hint(),
         }
     }
 }
 
-impl StreamOut {
+impl StreamedBody {
     /// The part that was read before the send.
     pub(crate) fn start(&self) -> &[u8] {
         &self.start
@@ -160,10 +160,10 @@
         };
         let frame = frame.map_err(|_| BodyError::Caller);
         if let Ok(Some(data)) = frame.as_ref().map(Frame::data_ref) {
-            let Some(left) = self.left.checked_sub(data.len() as u64) else {
+            let Some(remaining) = self.remaining.checked_sub(data.len() as u64) else {
                 return Poll::Ready(Some(Err(BodyError::TooLong(self.limit))));
             };
-            self.left = left;
+            self.remaining = remaining;
         }
         Poll::Ready(Some(frame))
     }
@@ -172,24 +172,24 @@
 /// Answers up to this length are buffered until they are complete, so that after a truncated one
 /// the request can be sent again before the caller has received any of it. The archives that users
 /// download are a tenth to a half of this length.
-const HOLD_ANSWER_BYTES: usize = 1024 * 1024;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1024 * 1024;
 
 /// The buffered start of an answer.
-pub(crate) enum Start<B> {
+pub(crate) enum AnswerStart<B> {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The first bytes of a body that is too long to buffer, and the rest.
-    Long(Bytes, B),
+    Partial(Bytes, B),
 }
 
 /// Reads an answer until it ends or is too long to buffer.
-pub(crate) struct Reading<B> {
+pub(crate) struct AnswerReader<B> {
     /// `None` once the start was returned.
     body: Option<B>,
     buf: BytesMut,
 }
 
-impl<B> Reading<B>
+impl<B> AnswerReader<B>
 where
     B: Body<Data = Bytes> + Unpin,
 {
@@ -200,12 +200,12 @@
 
     /// Reads the next frame. Returns the start of the answer once it is complete or too long to
     /// buffer. Cancel safe.
-    pub(crate) async fn step(&mut self) -> Result<Option<Start<B>>, B::Error> {
+    pub(crate) async fn read_frame(&mut self) -> Result<Option<AnswerStart<B>>, B::Error> {
         let Some(body) = &mut self.body else { return Ok(None) };
-        let is_too_long = body.size_hint().lower() > HOLD_ANSWER_BYTES as u64;
+        let is_too_long = body.size_hint().lower() > MAX_BUFFERED_ANSWER_BYTES as u64;
         if !is_too_long {
             match body.frame().await {
-                None => return Ok(Some(Start::Whole(self.buf.split().freeze()))),
+                None => return Ok(Some(AnswerStart::Complete(self.buf.split().freeze()))),
                 Some(frame) => {
                     if let Ok(data) = frame?.into_data() {
                         self.buf.extend_from_slice(&data);
@@ -213,25 +213,25 @@
                 }
             }
         }
-        if !is_too_long && self.buf.len() <= HOLD_ANSWER_BYTES {
+        if !is_too_long && self.buf.len() <= MAX_BUFFERED_ANSWER_BYTES {
             return Ok(None);
         }
         let start = self.buf.split().freeze();
-        Ok(self.body.take().map(|body| Start::Long(start, body)))
+        Ok(self.body.take().map(|body| AnswerStart::Partial(start, body)))
     }
 }
 
 /// The body of a caller's request after its start, or all of it, has been read.
-pub(crate) enum Received {
+pub(crate) enum ReceivedBody {
     /// The complete body without its trailers, and its share of the memory budget.
-    Whole(Bytes, #[expect(dead_code, reason = "gives the room back when it is dropped")] Taken),
+    Complete(Bytes, #[expect(dead_code, reason = "gives the room back when it is dropped")] Taken),
     /// A body that is too long to keep.
-    Long(StreamOut),
+    Streamed(StreamedBody),
     /// The body was streamed to an endpoint and cannot be sent again.
-    Spent,
+    Consumed,
 }
 
-impl Received {
+impl ReceivedBody {
     /// Reads a body until it ends or is too long to keep.
     pub(crate) async fn read(
         mut body: Incoming,
@@ -252,33 +252,33 @@
             }
             // Memory for the known remainder is reserved at once: a body that gets only a part of
             // the memory that it needs would occupy that part without any use.
-            let whole = buf.len() + body.size_hint().lower() as usize;
-            let is_held =
-                whole <= HOLD_BYTES || whole <= HOLD_IN_ROOM_BYTES && room.grow(&mut taken, whole);
-            if buf.len() > HOLD_BYTES && !is_held {
-                let left = limit - buf.len() as u64;
+            let known_len = buf.len() + body.size_hint().lower() as usize;
+            let is_kept = known_len <= ALWAYS_KEPT_BYTES
+                || known_len <= MAX_KEPT_BYTES && room.grow(&mut taken, known_len);
+            if buf.len() > ALWAYS_KEPT_BYTES && !is_kept {
+                let remaining = limit - buf.len() as u64;
                 let start = buf.freeze();
-                return Ok(Self::Long(StreamOut { start, rest: body, left, limit }));
+                return Ok(Self::Streamed(StreamedBody { start, rest: body, remaining, limit }));
             }
         }
-        Ok(Self::Whole(buf.freeze(), taken))
+        Ok(Self::Complete(buf.freeze(), taken))
     }
 
     /// The body for the next send, or `None` if it cannot be sent again.
-    pub(crate) fn next(&mut self) -> Option<RequestOut> {
-        if let Self::Whole(it, _) = self {
-            return Some(RequestOut::Held(Full::new(it.clone())));
+    pub(crate) fn next(&mut self) -> Option<RequestBody> {
+        if let Self::Complete(it, _) = self {
+            return Some(RequestBody::Complete(Full::new(it.clone())));
         }
-        match std::mem::replace(self, Self::Spent) {
-            Self::Long(it) => Some(RequestOut::Stream(it)),
+        match std::mem::replace(self, Self::Consumed) {
+            Self::Streamed(it) => Some(RequestBody::Streamed(it)),
             _ => None,
         }
     }
 
     /// Takes back a body of which nothing was sent.
-    pub(crate) fn put_back(&mut self, body: RequestOut) {
-        if let RequestOut::Stream(it) = body {
-            *self = Self::Long(it);
+    pub(crate) fn put_back(&mut self, body: RequestBody) {
+        if let RequestBody::Streamed(it) = body {
+            *self = Self::Streamed(it);
         }
     }
 }
--- a/crates/caller/src/content.rs
+++ b/crates/caller/src/content.rs
@@ -3,7 +3,7 @@
 use http::{HeaderMap, Method, Uri, header};
 use policy::RequestKey;
 
-use crate::body::Received;
+use crate::body::ReceivedBody;
 use crate::headers::{self, HeaderNames};
 
 /// Hashes the parts of a request that an endpoint acts on. Parts that differ between repeats of the
@@ -16,7 +16,7 @@
     method: &Method,
     uri: &Uri,
     head: &HeaderMap,
-    body: &Received,
+    body: &ReceivedBody,
 ) -> RequestKey {
     let mut hasher = blake3::Hasher::new();
     // A cryptographic hash, so that a caller cannot construct a request that has the same key as
@@ -33,12 +33,12 @@
         add(head.get(name).map_or(b"", |it| it.as_bytes()));
     }
     match body {
-        Received::Whole(it, _) => add(it),
-        Received::Long(it) => {
+        ReceivedBody::Complete(it, _) => add(it),
+        ReceivedBody::Streamed(it) => {
             add(it.start());
             add(&it.size_hint().lower().to_le_bytes());
         }
-        Received::Spent => {}
+        ReceivedBody::Consumed => {}
     }
     let hash = hasher.finalize();
     let (first, _) = hash.as_bytes().split_first_chunk().expect("a hash has 32 bytes");
--- a/crates/caller/src/cx.rs
+++ b/crates/caller/src/cx.rs
@@ -4,7 +4,7 @@
 use tokio::sync::watch;
 use upstream::Pool;
 
-use crate::body::RequestOut;
+use crate::body::RequestBody;
 use crate::paths::Paths;
 use crate::room::BodyRoom;
 use crate::{HeaderNames, Limits, Metrics, Shared};
@@ -13,7 +13,7 @@
 pub(crate) struct Cx<D> {
     pub(crate) shared: Shared,
     pub(crate) dispatch: D,
-    pub(crate) pool: Pool<RequestOut>,
+    pub(crate) pool: Pool<RequestBody>,
     pub(crate) paths: Paths,
     /// Memory budget for long request bodies that are kept for a repeat.
     pub(crate) room: BodyRoom,
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, timeout};
 
 use crate::answer::{GiveUp, refuse};
-use crate::body::{AnswerOut, BodyError, Received};
+use crate::body::{BodyError, ReceivedBody, ResponseBody};
 use crate::content::request_key;
 use crate::cx::Cx;
 use crate::in_flight::{Counted, InFlight};
@@ -32,7 +32,7 @@
 }
 
 /// Routes the request and returns its answer.
-async fn answer<D: Dispatch>(cx: &Arc<Cx<D>>, req: Request<Incoming>) -> Response<AnswerOut> {
+async fn answer<D: Dispatch>(cx: &Arc<Cx<D>>, req: Request<Incoming>) -> Response<ResponseBody> {
     let started = Instant::now();
     let id = req.headers().get(&cx.names.request_id).cloned();
     let mut res = match RoutedRequest::new(cx, &req) {
@@ -82,7 +82,7 @@
     cx: &Arc<Cx<D>>,
     id: Option<&HeaderValue>,
     why: GiveUp,
-) -> Response<AnswerOut> {
+) -> Response<ResponseBody> {
     cx.metrics.requests.with_label_values(&[why.outcome()]).inc();
     cx.metrics.given_up.with_label_values(&[why.cause]).inc();
     trace::refused(&cx.log, id, version(cx), why.status(), why.reason);
@@ -109,9 +109,9 @@
     mut request: RoutedRequest,
     body: Incoming,
     started: Instant,
-) -> Response<AnswerOut> {
+) -> Response<ResponseBody> {
     let limit = cx.limits.max_body_bytes.min(request.snapshot.config.limits.body_bytes);
-    let read = timeout(cx.limits.read_timeout, Received::read(body, limit, &cx.room)).await;
+    let read = timeout(cx.limits.read_timeout, ReceivedBody::read(body, limit, &cx.room)).await;
     let refused = match read {
         Ok(Ok(mut body)) => {
             request.key =
@@ -133,9 +133,9 @@
 async fn finish<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
-    body: &mut Received,
+    body: &mut ReceivedBody,
     started: Instant,
-) -> Response<AnswerOut> {
+) -> Response<ResponseBody> {
     let res = match send_until_done(cx, request, body).await {
         Ok(res) => {
             ended(cx, request, "answered", &res, started);
@@ -157,7 +157,7 @@
     request: &RoutedRequest,
     why: GiveUp,
     started: Instant,
-) -> Response<AnswerOut> {
+) -> Response<ResponseBody> {
     trace::give_up(&cx.log, &cx.names, request, why);
     cx.metrics.given_up.with_label_values(&[why.cause]).inc();
     let res = why.response();
@@ -170,7 +170,7 @@
     cx: &Arc<Cx<D>>,
     request: &RoutedRequest,
     outcome: &'static str,
-    res: &Response<AnswerOut>,
+    res: &Response<ResponseBody>,
     started: Instant,
 ) {
     let elapsed = started.elapsed();
--- a/crates/caller/src/in_flight.rs
+++ b/crates/caller/src/in_flight.rs
@@ -8,11 +8,11 @@
 use http_body::{Body, Frame, SizeHint};
 
 use crate::Metrics;
-use crate::body::{AnswerOut, BodyError};
+use crate::body::{BodyError, ResponseBody};
 
 /// The body of an answer; its request counts as in flight until the body is dropped.
 pub(crate) struct Counted {
-    body: AnswerOut,
+    body: ResponseBody,
     _guard: InFlight,
 }
 
@@ -20,7 +20,7 @@
 pub(crate) struct InFlight(Metrics);
 
 impl Counted {
-    pub(crate) fn new(body: AnswerOut, guard: InFlight) -> Self {
+    pub(crate) fn new(body: ResponseBody, guard: InFlight) -> Self {
         Self { body, _guard: guard }
     }
 }
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -19,30 +19,30 @@
 
 use crate::active_slot::{ActiveSlot, STALL_AFTER};
 use crate::attempt::classify_break;
-use crate::body::{AnswerOut, Part, RequestOut};
+use crate::body::{RelayItem, RequestBody, ResponseBody};
 use crate::cx::Cx;
 use crate::routed_request::RoutedRequest;
 use crate::sending::acquire_skipping_closed;
 use crate::{Dispatch, notice, trace};
 
 /// A stalled body that cannot be resumed elsewhere is aborted after this additional time.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(30);
+const STALL_GIVE_UP_AFTER: Duration = Duration::from_secs(30);
 /// Time limit for resuming a download on another endpoint.
-const RESUME_WITHIN: Duration = Duration::from_secs(10);
+const RESUME_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of resume attempts per download.
 const MAX_RESUMES: u32 = 4;
 /// Capacity of the channel to the caller. A larger one would only delay back pressure.
-const PARTS_AHEAD: usize = 2;
+const RELAY_CAPACITY: usize = 2;
 
 /// State of the task that streams one answer to the caller.
 pub(crate) struct Relay<D: Dispatch> {
     cx: Arc<Cx<D>>,
     request: Arc<RoutedRequest>,
     active_slot: ActiveSlot<D::Slot>,
-    body: AnswerBody<RequestOut>,
-    tx: mpsc::Sender<Part>,
+    body: AnswerBody<RequestBody>,
+    tx: mpsc::Sender<RelayItem>,
     /// Number of bytes passed on to the caller.
-    sent: u64,
+    forwarded: u64,
     resume: Option<Resume>,
 }
 
@@ -52,7 +52,7 @@
     /// Length of the complete body.
     total: u64,
     /// Attempts left.
-    left: u32,
+    attempts_left: u32,
 }
 
 /// Result of one read from the endpoint.
@@ -72,36 +72,36 @@
         mut active_slot: ActiveSlot<D::Slot>,
         parts: &response::Parts,
         start: Bytes,
-        body: AnswerBody<RequestOut>,
-    ) -> AnswerOut {
+        body: AnswerBody<RequestBody>,
+    ) -> ResponseBody {
         active_slot.report_start();
-        let (tx, rx) = mpsc::channel(PARTS_AHEAD);
-        let resume = Resume::of(&request.method, parts);
-        tokio::spawn(Self { cx, request, active_slot, body, tx, sent: 0, resume }.run(start));
-        AnswerOut::Stream(rx)
+        let (tx, rx) = mpsc::channel(RELAY_CAPACITY);
+        let resume = Resume::from_answer(&request.method, parts);
+        tokio::spawn(Self { cx, request, active_slot, body, tx, forwarded: 0, resume }.run(start));
+        ResponseBody::Streamed(rx)
     }
 
     /// Runs until the answer ends or the caller disconnects.
     async fn run(self, start: Bytes) {
         let tx = self.tx.clone();
         tokio::select! {
-            () = self.pass_on(start) => {}
+            () = self.forward(start) => {}
             () = tx.closed() => {}
         }
     }
 
-    async fn pass_on(mut self, start: Bytes) {
+    async fn forward(mut self, start: Bytes) {
         if !start.is_empty() {
-            let part = Part::Frame(Frame::data(start));
-            self.sent += part.len();
-            if self.tx.send(part).await.is_err() {
+            let item = RelayItem::Frame(Frame::data(start));
+            self.forwarded += item.len();
+            if self.tx.send(item).await.is_err() {
                 return;
             }
         }
         loop {
-            let part = match self.step().await {
-                Step::Frame(frame) => Part::Frame(frame),
-                Step::End => Part::End,
+            let item = match self.read_step().await {
+                Step::Frame(frame) => RelayItem::Frame(frame),
+                Step::End => RelayItem::End,
                 step @ (Step::Broken | Step::Stalled) => {
                     if matches!(step, Step::Broken) {
                         // Reported before the resume, so that dispatch takes the failure into
@@ -116,9 +116,9 @@
                     }
                 }
             };
-            let is_end = matches!(part, Part::End);
-            self.sent += part.len();
-            if self.tx.send(part).await.is_err() {
+            let is_end = matches!(item, RelayItem::End);
+            self.forwarded += item.len();
+            if self.tx.send(item).await.is_err() {
                 return;
             }
             if is_end {
@@ -129,19 +129,19 @@
     }
 
     /// Reads the next frame, and reports a stall.
-    async fn step(&mut self) -> Step {
-        let waiting_since = Instant::now();
+    async fn read_step(&mut self) -> Step {
+        let read_started = Instant::now();
         self.active_slot.record_activity();
         let frame = match timeout(STALL_AFTER, self.body.frame()).await {
             Ok(frame) => frame,
             // If the timer fires very late, this process was paused; the endpoint is not at fault.
-            Err(_) if waiting_since.elapsed() > STALL_AFTER * 2 => return Step::Stalled,
+            Err(_) if read_started.elapsed() > STALL_AFTER * 2 => return Step::Stalled,
             Err(_) => {
                 self.active_slot.report_stall();
                 if self.resume.is_some() {
                     return Step::Stalled;
                 }
-                match timeout(GIVE_UP_AFTER, self.body.frame()).await {
+                match timeout(STALL_GIVE_UP_AFTER, self.body.frame()).await {
                     Ok(frame) => frame,
                     Err(_) => return Step::Broken,
                 }
@@ -156,18 +156,18 @@
 
     /// Resumes the download on another endpoint at the first missing byte.
     async fn resume(&mut self) -> bool {
-        let give_up_at = Instant::now() + RESUME_WITHIN;
+        let give_up_at = Instant::now() + RESUME_TIMEOUT;
         while Instant::now() < give_up_at {
             let Some(resume) = &mut self.resume else { return false };
-            let Some(left) = resume.left.checked_sub(1) else { return false };
-            resume.left = left;
+            let Some(attempts_left) = resume.attempts_left.checked_sub(1) else { return false };
+            resume.attempts_left = attempts_left;
             if self.try_resume().await.is_some() {
                 self.cx.metrics.resumes.inc();
                 trace::continued(
                     &self.cx,
                     &self.request,
                     &self.active_slot.grant().endpoint,
-                    self.sent,
+                    self.forwarded,
                 );
                 return true;
             }
@@ -182,7 +182,7 @@
             Step::Stalled => "the endpoint went silent in the middle of its answer",
             _ => "the endpoint broke off its answer",
         };
-        trace::broken_off(&self.cx, &self.request, &endpoint, self.sent, reason);
+        trace::broken_off(&self.cx, &self.request, &endpoint, self.forwarded, reason);
         self.active_slot.end(Kind::Failed);
     }
 
@@ -191,15 +191,15 @@
         let resume = self.resume.as_ref()?;
         let mut slot_request =
             self.request.slot_request(self.cx.paths.avoided(&[self.active_slot.addr()]));
-        slot_request.left = RESUME_WITHIN;
+        slot_request.left = RESUME_TIMEOUT;
         slot_request.send = SendKind::Further;
         let acquire = acquire_skipping_closed(&self.cx, slot_request);
-        let slot = timeout(RESUME_WITHIN, acquire).await.ok()?.ok()?;
+        let slot = timeout(RESUME_TIMEOUT, acquire).await.ok()?.ok()?;
         if !self.request.is_still_authorized(&self.cx) {
             return None;
         }
         let mut active_slot = ActiveSlot::new(slot);
-        let body = RequestOut::Held(Full::default());
+        let body = RequestBody::Complete(Full::default());
         let span = self.request.span.child();
         let mut req = self.request.upstream_request(
             &self.cx.names,
@@ -207,7 +207,7 @@
             &span,
             body,
         );
-        resume.ask(req.headers_mut(), self.sent);
+        resume.set_range_headers(req.headers_mut(), self.forwarded);
         let send = self.cx.pool.send(active_slot.addr(), req, Reuse::Allowed);
         let res = match timeout(STALL_AFTER, send).await.ok()? {
             Ok(res) => res,
@@ -220,7 +220,7 @@
             }
         };
         notice::hear(&self.cx, &mut active_slot, &res);
-        if !resume.matches(&res, self.sent) {
+        if !resume.matches(&res, self.forwarded) {
             return None;
         }
         active_slot.record_head();
@@ -234,30 +234,30 @@
 
 impl Resume {
     /// The resume state for an answer, or `None` if the download cannot be resumed.
-    fn of(method: &Method, parts: &response::Parts) -> Option<Self> {
+    fn from_answer(method: &Method, parts: &response::Parts) -> Option<Self> {
         let headers = &parts.headers;
         let etag = headers.get(header::ETAG)?;
         let is_strong = etag.as_bytes().starts_with(b"\"");
-        let ranges = headers.get(header::ACCEPT_RANGES)?.as_bytes() == b"bytes";
+        let accepts_ranges = headers.get(header::ACCEPT_RANGES)?.as_bytes() == b"bytes";
         let total = headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()?;
-        let is_whole = parts.status == StatusCode::OK && *method == Method::GET;
-        (is_whole && is_strong && ranges).then(|| Self {
+        let is_complete = parts.status == StatusCode::OK && *method == Method::GET;
+        (is_complete && is_strong && accepts_ranges).then(|| Self {
             etag: etag.clone(),
             total,
-            left: MAX_RESUMES,
+            attempts_left: MAX_RESUMES,
         })
     }
 
     /// Adds the headers that request the bytes after the first `have` ones.
-    fn ask(&self, headers: &mut http::HeaderMap, have: u64) {
-        let range = format!("bytes={have}-");
+    fn set_range_headers(&self, headers: &mut http::HeaderMap, received: u64) {
+        let range = format!("bytes={received}-");
         headers.insert(header::RANGE, HeaderValue::from_str(&range).expect("digits"));
         headers.insert(header::IF_RANGE, self.etag.clone());
     }
 
     /// Whether an answer contains exactly the missing bytes of the same version of the body.
-    fn matches<B>(&self, res: &http::Response<B>, have: u64) -> bool {
-        let range = format!("bytes {have}-{}/{}", self.total.saturating_sub(1), self.total);
+    fn matches<B>(&self, res: &http::Response<B>, received: u64) -> bool {
+        let range = format!("bytes {received}-{}/{}", self.total.saturating_sub(1), self.total);
         let headers = res.headers();
         res.status() == StatusCode::PARTIAL_CONTENT
             && headers.get(header::ETAG) == Some(&self.etag)
--- a/crates/caller/src/routed_request.rs
+++ b/crates/caller/src/routed_request.rs
@@ -12,7 +12,7 @@
 use policy::{RequestKey, SendKind};
 use resources::{Name, Repeat, Route};
 
-use crate::body::RequestOut;
+use crate::body::RequestBody;
 use crate::cx::Cx;
 use crate::headers::{self, HeaderNames, Span};
 use crate::identity::{Caller, Denied};
@@ -181,8 +181,8 @@
         names: &HeaderNames,
         endpoint: &Name,
         span: &Span,
-        body: RequestOut,
-    ) -> Request<RequestOut> {
+        body: RequestBody,
+    ) -> Request<RequestBody> {
         let mut req = Request::new(body);
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -16,7 +16,7 @@
 use crate::active_slot::HedgeRace;
 use crate::answer::GiveUp;
 use crate::attempt::{SendOrder, SendResult, send_once};
-use crate::body::{AnswerOut, Received, RequestOut};
+use crate::body::{ReceivedBody, RequestBody, ResponseBody};
 use crate::cx::Cx;
 use crate::routed_request::RoutedRequest;
 use crate::{Dispatch, Refused, Slot, Want, Why};
@@ -56,8 +56,8 @@
 pub(crate) async fn send_until_done<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
-    body: &mut Received,
-) -> Result<Response<AnswerOut>, GiveUp> {
+    body: &mut ReceivedBody,
+) -> Result<Response<ResponseBody>, GiveUp> {
     let mut progress = Progress::default();
     let mut error_answer = None;
     loop {
@@ -146,10 +146,10 @@
 /// The result of a request that is not sent again. An error answer from an endpoint is passed on to
 /// the caller if there is one.
 fn final_result(
-    error_answer: Option<Response<AnswerOut>>,
+    error_answer: Option<Response<ResponseBody>>,
     refused: Refused,
     progress: &Progress,
-) -> Result<Response<AnswerOut>, GiveUp> {
+) -> Result<Response<ResponseBody>, GiveUp> {
     match error_answer {
         Some(res) => Ok(res),
         None if progress.unknown_before => Err(GiveUp::unknown(refused.retry_after)),
@@ -195,13 +195,13 @@
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     slot: D::Slot,
-    body: RequestOut,
+    body: RequestBody,
     progress: &mut Progress,
 ) -> SendResult {
     let grant = slot.grant().clone();
     let may_hedge = request.route.hedge && progress.reached + 1 < request.route.max_sends;
     let hedge_body = match &body {
-        RequestOut::Held(it) if may_hedge => Some(it.clone()),
+        RequestBody::Complete(it) if may_hedge => Some(it.clone()),
         _ => None,
     };
     progress.tried.push(grant.addr);
@@ -283,5 +283,5 @@
     is_sent.store(true, Ordering::Relaxed);
     cx.metrics.hedges.inc();
     let order = SendOrder::Further(HedgeRace::default());
-    Some(send_once(cx, request, slot, RequestOut::Held(body), order).await)
+    Some(send_once(cx, request, slot, RequestBody::Complete(body), order).await)
 }
--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -10,7 +10,7 @@
 
 use crate::answer::GiveUp;
 use crate::attempt::answer_kind;
-use crate::body::Received;
+use crate::body::ReceivedBody;
 use crate::content::request_key;
 use crate::headers::{HeaderNames, Span, deadline_of, host_of, strip_hop_by_hop};
 use crate::snapshot::Snapshot;
@@ -145,7 +145,8 @@
     pairs: &[(&'static str, &'static str)],
     body: &'static str,
 ) -> RequestKey {
-    let body = Received::Whole(Bytes::from_static(body.as_bytes()), crate::room::Taken::default());
+    let body =
+        ReceivedBody::Complete(Bytes::from_static(body.as_bytes()), crate::room::Taken::default());
     request_key(&names(), &method.parse().unwrap(), &uri.parse().unwrap(), &headers(pairs), &body)
 }
 
