--- a/crates/caller/src/body.rs
+++ b/crates/caller/src/body.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use crate::room::{BodyRoom, Taken};
+use crate::body_memory::{BodyMemory, Reservation};
 
 /// Request bodies up to this length are always kept until the request is answered, so that it can
 /// be sent again.
@@ -224,7 +224,7 @@
 /// The body of a caller's request after its start, or all of it, has been read.
 pub(crate) enum ReceivedBody {
     /// The complete body without its trailers, and its share of the memory budget.
-    Complete(Bytes, #[expect(dead_code, reason = "gives the room back when it is dropped")] Taken),
+    Complete(Bytes, #[expect(dead_code, reason = "releases the reservation on drop")] Reservation),
     /// A body that is too long to keep.
     Streamed(StreamedBody),
     /// The body was streamed to an endpoint and cannot be sent again.
@@ -236,13 +236,13 @@
     pub(crate) async fn read(
         mut body: Incoming,
         limit: u64,
-        room: &BodyRoom,
+        body_memory: &BodyMemory,
     ) -> Result<Self, BodyError> {
         if body.size_hint().lower() > limit {
             return Err(BodyError::TooLong(limit));
         }
         let mut buf = BytesMut::new();
-        let mut taken = Taken::default();
+        let mut reservation = Reservation::default();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| BodyError::Caller)?;
             let Ok(data) = frame.into_data() else { continue };
@@ -254,14 +254,14 @@
             // the memory that it needs would occupy that part without any use.
             let known_len = buf.len() + body.size_hint().lower() as usize;
             let is_kept = known_len <= ALWAYS_KEPT_BYTES
-                || known_len <= MAX_KEPT_BYTES && room.grow(&mut taken, known_len);
+                || known_len <= MAX_KEPT_BYTES && body_memory.grow(&mut reservation, known_len);
             if buf.len() > ALWAYS_KEPT_BYTES && !is_kept {
                 let remaining = limit - buf.len() as u64;
                 let start = buf.freeze();
                 return Ok(Self::Streamed(StreamedBody { start, rest: body, remaining, limit }));
             }
         }
-        Ok(Self::Complete(buf.freeze(), taken))
+        Ok(Self::Complete(buf.freeze(), reservation))
     }
 
     /// The body for the next send, or `None` if it cannot be sent again.
--- a/crates/caller/src/room.rs
+++ b/crates/caller/src/body_memory.rs
@@ -6,10 +6,10 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// Granularity of reservations in bytes.
-const PIECE: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// The memory budget of a node.
-pub(crate) struct BodyRoom {
+pub(crate) struct BodyMemory {
     free: Arc<Semaphore>,
     /// Number of reserved bytes.
     used: IntGauge,
@@ -17,41 +17,41 @@
 
 /// The reservation of one body, released on drop.
 #[derive(Default)]
-pub(crate) struct Taken {
-    pieces: Option<OwnedSemaphorePermit>,
+pub(crate) struct Reservation {
+    chunks: Option<OwnedSemaphorePermit>,
     used: Option<IntGauge>,
 }
 
-impl BodyRoom {
+impl BodyMemory {
     /// A budget of `bytes`, rounded down to whole pieces; `used` shows the reserved part.
     pub(crate) fn new(bytes: usize, used: IntGauge) -> Self {
-        Self { free: Arc::new(Semaphore::new(bytes / PIECE)), used }
+        Self { free: Arc::new(Semaphore::new(bytes / CHUNK_BYTES)), used }
     }
 
     /// Grows `taken` to at least `bytes`. Returns false if the budget is too small.
-    pub(crate) fn grow(&self, taken: &mut Taken, bytes: usize) -> bool {
-        let has = taken.pieces.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-        let lacks = bytes.div_ceil(PIECE).saturating_sub(has);
-        if lacks == 0 {
+    pub(crate) fn grow(&self, reservation: &mut Reservation, bytes: usize) -> bool {
+        let held = reservation.chunks.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
+        let missing = bytes.div_ceil(CHUNK_BYTES).saturating_sub(held);
+        if missing == 0 {
             return true;
         }
-        let Ok(more) = self.free.clone().try_acquire_many_owned(lacks as u32) else {
+        let Ok(more) = self.free.clone().try_acquire_many_owned(missing as u32) else {
             return false;
         };
-        self.used.add((lacks * PIECE) as i64);
-        taken.used.get_or_insert_with(|| self.used.clone());
-        match &mut taken.pieces {
+        self.used.add((missing * CHUNK_BYTES) as i64);
+        reservation.used.get_or_insert_with(|| self.used.clone());
+        match &mut reservation.chunks {
             Some(it) => it.merge(more),
-            None => taken.pieces = Some(more),
+            None => reservation.chunks = Some(more),
         }
         true
     }
 }
 
-impl Drop for Taken {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        if let (Some(pieces), Some(used)) = (&self.pieces, &self.used) {
-            used.sub((pieces.num_permits() * PIECE) as i64);
+        if let (Some(chunks), Some(used)) = (&self.chunks, &self.used) {
+            used.sub((chunks.num_permits() * CHUNK_BYTES) as i64);
         }
     }
 }
--- a/crates/caller/src/cx.rs
+++ b/crates/caller/src/cx.rs
@@ -5,8 +5,8 @@
 use upstream::Pool;
 
 use crate::body::RequestBody;
+use crate::body_memory::BodyMemory;
 use crate::paths::Paths;
-use crate::room::BodyRoom;
 use crate::{HeaderNames, Limits, Metrics, Shared};
 
 /// State shared by all requests of a listener.
@@ -16,7 +16,7 @@
     pub(crate) pool: Pool<RequestBody>,
     pub(crate) paths: Paths,
     /// Memory budget for long request bodies that are kept for a repeat.
-    pub(crate) room: BodyRoom,
+    pub(crate) body_memory: BodyMemory,
     pub(crate) names: HeaderNames,
     pub(crate) limits: Limits,
     pub(crate) metrics: Metrics,
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -111,7 +111,8 @@
     started: Instant,
 ) -> Response<ResponseBody> {
     let limit = cx.limits.max_body_bytes.min(request.snapshot.config.limits.body_bytes);
-    let read = timeout(cx.limits.read_timeout, ReceivedBody::read(body, limit, &cx.room)).await;
+    let read =
+        timeout(cx.limits.read_timeout, ReceivedBody::read(body, limit, &cx.body_memory)).await;
     let refused = match read {
         Ok(Ok(mut body)) => {
             request.key =
--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -14,10 +14,10 @@
 use tokio::sync::watch;
 use upstream::Pool;
 
+use crate::body_memory::BodyMemory;
 use crate::cx::Cx;
 use crate::exchange::serve;
 use crate::paths::Paths;
-use crate::room::BodyRoom;
 use crate::{Dispatch, HeaderNames, Metrics, Shared};
 
 /// Limits of a listener.
@@ -69,7 +69,7 @@
             dispatch,
             pool: Pool::new(limits.connect_timeout),
             paths: Paths::default(),
-            room: BodyRoom::new(limits.held_body_bytes, metrics.held_body_bytes.clone()),
+            body_memory: BodyMemory::new(limits.held_body_bytes, metrics.held_body_bytes.clone()),
             names,
             limits,
             metrics,
@@ -94,8 +94,8 @@
     /// Sets the limits.
     pub fn limits(mut self, limits: Limits) -> Self {
         self.cx.pool = Pool::new(limits.connect_timeout);
-        self.cx.room =
-            BodyRoom::new(limits.held_body_bytes, self.cx.metrics.held_body_bytes.clone());
+        self.cx.body_memory =
+            BodyMemory::new(limits.held_body_bytes, self.cx.metrics.held_body_bytes.clone());
         self.cx.limits = limits;
         self
     }
--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -145,8 +145,10 @@
     pairs: &[(&'static str, &'static str)],
     body: &'static str,
 ) -> RequestKey {
-    let body =
-        ReceivedBody::Complete(Bytes::from_static(body.as_bytes()), crate::room::Taken::default());
+    let body = ReceivedBody::Complete(
+        Bytes::from_static(body.as_bytes()),
+        crate::body_memory::Reservation::default(),
+    );
     request_key(&names(), &method.parse().unwrap(), &uri.parse().unwrap(), &headers(pairs), &body)
 }
 
@@ -170,16 +172,17 @@
 }
 
 #[test]
-fn room_for_long_bodies_is_bounded_and_given_back() {
+fn memory_for_long_bodies_is_bounded_and_released() {
     let used = prometheus::IntGauge::new("used", "Bytes.").unwrap();
-    let room = crate::room::BodyRoom::new(256 * 1024, used.clone());
-    let (mut one, mut other) = <(crate::room::Taken, crate::room::Taken)>::default();
-    assert!(room.grow(&mut one, 100_000) && room.grow(&mut one, 200_000));
-    assert!(room.grow(&mut one, 150_000), "it has room for that");
-    assert!(!room.grow(&mut other, 100_000));
+    let body_memory = crate::body_memory::BodyMemory::new(256 * 1024, used.clone());
+    let (mut one, mut other) =
+        <(crate::body_memory::Reservation, crate::body_memory::Reservation)>::default();
+    assert!(body_memory.grow(&mut one, 100_000) && body_memory.grow(&mut one, 200_000));
+    assert!(body_memory.grow(&mut one, 150_000), "the reservation is already large enough");
+    assert!(!body_memory.grow(&mut other, 100_000));
     assert_eq!(used.get(), 13 * 16 * 1024);
     drop(one);
-    assert!(room.grow(&mut other, 256 * 1024));
+    assert!(body_memory.grow(&mut other, 256 * 1024));
     drop(other);
     assert_eq!(used.get(), 0);
 }
