--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -96,14 +96,14 @@
         }
         Some(Err(error)) if error.failure.is_not_run() => {
             if matches!(error.failure, Failure::Connect(_)) {
-                cx.paths.failed(addr);
+                cx.unreachable.record_failure(addr);
             }
             active_slot.end(Kind::Unreachable);
             SendResult::Unreached(error.req.map(Request::into_body))
         }
         Some(Err(_)) => end_broken(cx, active_slot).await,
         Some(Ok(res)) => {
-            cx.paths.works(addr);
+            cx.unreachable.record_answer(addr);
             handle_answer(cx, request, active_slot, res, is_first).await
         }
     };
--- a/crates/caller/src/cx.rs
+++ b/crates/caller/src/cx.rs
@@ -6,7 +6,7 @@
 
 use crate::body::RequestBody;
 use crate::body_memory::BodyMemory;
-use crate::paths::Paths;
+use crate::unreachable::UnreachableEndpoints;
 use crate::{HeaderNames, Limits, Metrics, Shared};
 
 /// State shared by all requests of a listener.
@@ -14,7 +14,7 @@
     pub(crate) shared: Shared,
     pub(crate) dispatch: D,
     pub(crate) pool: Pool<RequestBody>,
-    pub(crate) paths: Paths,
+    pub(crate) unreachable: UnreachableEndpoints,
     /// Memory budget for long request bodies that are kept for a repeat.
     pub(crate) body_memory: BodyMemory,
     pub(crate) names: HeaderNames,
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -19,12 +19,12 @@
 mod listener;
 mod metrics;
 mod notice;
-mod paths;
 mod relay;
 mod routed_request;
 mod sending;
 mod snapshot;
 mod trace;
+mod unreachable;
 
 pub use answer::OUTCOME_HEADER;
 pub use dispatch::{Admission, Dispatch, Refused, Slot, Want, Why};
--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -17,7 +17,7 @@
 use crate::body_memory::BodyMemory;
 use crate::cx::Cx;
 use crate::exchange::serve;
-use crate::paths::Paths;
+use crate::unreachable::UnreachableEndpoints;
 use crate::{Dispatch, HeaderNames, Metrics, Shared};
 
 /// Limits of a listener.
@@ -68,7 +68,7 @@
             shared,
             dispatch,
             pool: Pool::new(limits.connect_timeout),
-            paths: Paths::default(),
+            unreachable: UnreachableEndpoints::default(),
             body_memory: BodyMemory::new(limits.held_body_bytes, metrics.held_body_bytes.clone()),
             names,
             limits,
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -190,7 +190,7 @@
     async fn try_resume(&mut self) -> Option<()> {
         let resume = self.resume.as_ref()?;
         let mut slot_request =
-            self.request.slot_request(self.cx.paths.avoided(&[self.active_slot.addr()]));
+            self.request.slot_request(self.cx.unreachable.to_avoid(&[self.active_slot.addr()]));
         slot_request.left = RESUME_TIMEOUT;
         slot_request.send = SendKind::Further;
         let acquire = acquire_skipping_closed(&self.cx, slot_request);
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -64,7 +64,7 @@
         let slot_request = Want {
             send: progress.send_kind(),
             is_last: request.is_last_send(progress.reached),
-            ..request.slot_request(cx.paths.avoided(&progress.tried))
+            ..request.slot_request(cx.unreachable.to_avoid(&progress.tried))
         };
         let slot = match acquire(cx, request, slot_request).await {
             Ok(slot) => slot,
@@ -219,7 +219,7 @@
     }
     progress.reached += 1;
     let is_sent = AtomicBool::new(false);
-    let avoid = cx.paths.avoided(&progress.tried);
+    let avoid = cx.unreachable.to_avoid(&progress.tried);
     let mut second = pin!(send_hedge(cx, request, avoid, hedge_body, &is_sent));
     let (sent, hedge) = tokio::select! {
         biased;
--- a/crates/caller/src/paths.rs
+++ b/crates/caller/src/unreachable.rs
@@ -15,26 +15,26 @@
 
 /// Addresses that this node recently failed to connect to.
 #[derive(Debug, Default)]
-pub(crate) struct Paths {
-    failed: Mutex<FxHashMap<SocketAddr, Moment>>,
+pub(crate) struct UnreachableEndpoints {
+    failed_at: Mutex<FxHashMap<SocketAddr, Moment>>,
 }
 
-impl Paths {
+impl UnreachableEndpoints {
     /// Records a failed connection.
-    pub(crate) fn failed(&self, addr: SocketAddr) {
-        self.failed.lock().insert(addr, Moment::now());
+    pub(crate) fn record_failure(&self, addr: SocketAddr) {
+        self.failed_at.lock().insert(addr, Moment::now());
     }
 
     /// Records an answer.
-    pub(crate) fn works(&self, addr: SocketAddr) {
-        self.failed.lock().remove(&addr);
+    pub(crate) fn record_answer(&self, addr: SocketAddr) {
+        self.failed_at.lock().remove(&addr);
     }
 
     /// The endpoints to avoid: those in `tried` and those with a recent connection failure.
-    pub(crate) fn avoided(&self, tried: &[SocketAddr]) -> Vec<SocketAddr> {
-        let mut failed = self.failed.lock();
-        failed.retain(|_, at| at.elapsed() < AVOID_FOR);
-        let others = failed.keys().copied().filter(|it| !tried.contains(it));
+    pub(crate) fn to_avoid(&self, tried: &[SocketAddr]) -> Vec<SocketAddr> {
+        let mut failed_at = self.failed_at.lock();
+        failed_at.retain(|_, at| at.elapsed() < AVOID_FOR);
+        let others = failed_at.keys().copied().filter(|it| !tried.contains(it));
         tried.iter().copied().chain(others).take(MAX_AVOIDED).collect()
     }
 }
