--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -79,7 +79,7 @@
         SendOrder::First(race) | SendOrder::Further(race) => ActiveSlot::with_race(slot, race),
     };
     let (slot_by, since) = (active_slot.granted_by(), Instant::now());
-    let (tier, doubt) = (active_slot.grant().tier, active_slot.grant().doubt);
+    let (tier, health) = (active_slot.grant().tier, active_slot.grant().doubt);
     let span = request.span.child();
     let req = request.upstream_request(&cx.names, &active_slot.grant().endpoint, &span, body);
     let reuse = match request.route.repeat {
@@ -108,12 +108,12 @@
         }
     };
     cx.metrics.sends.with_label_values(&[sent.name()]).inc();
-    let record = trace::Send {
+    let record = trace::SendRecord {
         span: &span,
         endpoint: &endpoint,
         slot_by,
         tier,
-        doubt,
+        health,
         outcome: sent.name(),
         elapsed: since.elapsed(),
     };
@@ -166,7 +166,7 @@
         active_slot.end(Kind::Failed);
         return SendResult::NotRun;
     }
-    notice::hear(cx, &mut active_slot, &res);
+    notice::report_notices(cx, &mut active_slot, &res);
     if res.headers().contains_key(&cx.names.not_run) && !res.status().is_success() {
         if is_first {
             cx.metrics.first_shed.inc();
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -10,9 +10,9 @@
 
 use crate::answer::{GiveUp, refuse};
 use crate::body::{BodyError, ReceivedBody, ResponseBody};
-use crate::content::request_key;
 use crate::cx::Cx;
-use crate::in_flight::{Counted, InFlight};
+use crate::in_flight::{CountedBody, InFlightGuard};
+use crate::request_key::request_key;
 use crate::routed_request::{RouteError, RoutedRequest};
 use crate::sending::send_until_done;
 use crate::trace;
@@ -22,13 +22,13 @@
 pub(crate) async fn serve<D: Dispatch>(
     cx: Arc<Cx<D>>,
     req: Request<Incoming>,
-) -> Response<Counted> {
-    let guard = InFlight::new(&cx.metrics);
+) -> Response<CountedBody> {
+    let guard = InFlightGuard::new(&cx.metrics);
     let mut res = answer(&cx, req).await;
     if *cx.draining.borrow() {
         res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    res.map(|body| Counted::new(body, guard))
+    res.map(|body| CountedBody::new(body, guard))
 }
 
 /// Routes the request and returns its answer.
@@ -81,12 +81,12 @@
 fn give_up_unrouted<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     id: Option<&HeaderValue>,
-    why: GiveUp,
+    give_up: GiveUp,
 ) -> Response<ResponseBody> {
-    cx.metrics.requests.with_label_values(&[why.outcome()]).inc();
-    cx.metrics.given_up.with_label_values(&[why.cause]).inc();
-    trace::refused(&cx.log, id, version(cx), why.status(), why.reason);
-    why.response()
+    cx.metrics.requests.with_label_values(&[give_up.outcome()]).inc();
+    cx.metrics.given_up.with_label_values(&[give_up.cause]).inc();
+    trace::refused(&cx.log, id, version(cx), give_up.status(), give_up.reason);
+    give_up.response()
 }
 
 /// Charges the request to the allowance of its organisation, before the body is read.
@@ -156,13 +156,13 @@
 fn given_up<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &RoutedRequest,
-    why: GiveUp,
+    give_up: GiveUp,
     started: Instant,
 ) -> Response<ResponseBody> {
-    trace::give_up(&cx.log, &cx.names, request, why);
-    cx.metrics.given_up.with_label_values(&[why.cause]).inc();
-    let res = why.response();
-    ended(cx, request, why.outcome(), &res, started);
+    trace::give_up(&cx.log, &cx.names, request, give_up);
+    cx.metrics.given_up.with_label_values(&[give_up.cause]).inc();
+    let res = give_up.response();
+    ended(cx, request, give_up.outcome(), &res, started);
     res
 }
 
--- a/crates/caller/src/headers.rs
+++ b/crates/caller/src/headers.rs
@@ -82,16 +82,16 @@
     value: HeaderValue,
 }
 
-/// Parses the number in a header and converts it with `meant`. A missing header is no error.
-fn number_of<T>(
+/// Parses the number in a header and converts it with `convert`. A missing header is no error.
+fn parse_number<T>(
     headers: &HeaderMap,
     name: &HeaderName,
-    meant: impl Fn(f64) -> Option<T>,
+    convert: impl Fn(f64) -> Option<T>,
 ) -> Result<Option<T>, BadNumber> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let number = value.to_str().ok().and_then(|it| it.trim().parse().ok());
-    let meant = number.and_then(meant);
-    meant.map(Some).ok_or_else(|| BadNumber { name: name.clone(), value: value.clone() })
+    let converted = number.and_then(convert);
+    converted.map(Some).ok_or_else(|| BadNumber { name: name.clone(), value: value.clone() })
 }
 
 /// The rate limit that an upstream asks for.
@@ -99,7 +99,7 @@
     names: &HeaderNames,
     headers: &HeaderMap,
 ) -> Result<Option<RateLimit>, BadNumber> {
-    number_of(headers, &names.rate_limit, RateLimit::from_per_second)
+    parse_number(headers, &names.rate_limit, RateLimit::from_per_second)
 }
 
 /// Whether an upstream announces that it is about to leave.
@@ -108,8 +108,8 @@
 }
 
 /// The back-off that an upstream asks for when it refuses a request.
-pub(crate) fn rest_of(headers: &HeaderMap) -> Result<Option<Duration>, BadNumber> {
-    number_of(headers, &header::RETRY_AFTER, |it| Duration::try_from_secs_f64(it).ok())
+pub(crate) fn backoff_of(headers: &HeaderMap) -> Result<Option<Duration>, BadNumber> {
+    parse_number(headers, &header::RETRY_AFTER, |it| Duration::try_from_secs_f64(it).ok())
 }
 
 /// A span of a distributed trace.
@@ -122,8 +122,9 @@
 
 impl Span {
     /// A new span, a child of the one in `traceparent` if that header is valid.
-    pub(crate) fn of(headers: &HeaderMap) -> Self {
-        let parent = headers.get(TRACEPARENT).and_then(|it| it.to_str().ok()).and_then(parse);
+    pub(crate) fn from_headers(headers: &HeaderMap) -> Self {
+        let parent =
+            headers.get(TRACEPARENT).and_then(|it| it.to_str().ok()).and_then(parse_traceparent);
         let (trace, parent) = parent.unwrap_or_else(|| (rand::rng().random(), 0));
         Self { trace, parent, id: rand::rng().random() }
     }
@@ -141,7 +142,7 @@
 }
 
 /// Parses the trace and span IDs of a `traceparent` value.
-fn parse(text: &str) -> Option<(u128, u64)> {
+fn parse_traceparent(text: &str) -> Option<(u128, u64)> {
     let mut parts = text.split('-');
     let (version, trace, span) = (parts.next()?, parts.next()?, parts.next()?);
     if version.len() != 2 || trace.len() != 32 || span.len() != 16 {
--- a/crates/caller/src/identity.rs
+++ b/crates/caller/src/identity.rs
@@ -75,7 +75,7 @@
 
 impl Caller {
     /// Identifies the caller of a request. Public routes also accept anonymous callers.
-    pub(crate) fn of(
+    pub(crate) fn identify(
         callers: &Callers,
         route: &Route,
         names: &HeaderNames,
@@ -84,7 +84,7 @@
         if !callers.need_keys() {
             return Ok(Self::by_name(callers, names, headers));
         }
-        let key = match key_of(names, headers) {
+        let key = match presented_key(names, headers) {
             Ok(key) => key,
             Err(_) if route.public => return Ok(Self::default()),
             Err(denied) => return Err(denied),
@@ -156,10 +156,10 @@
 }
 
 /// The key that a request presents.
-fn key_of(names: &HeaderNames, headers: &HeaderMap) -> Result<KeyDigest, Denied> {
-    let mut shown = headers.get_all(&names.api_key).iter();
-    let Some(key) = shown.next() else { return Err(Denied::NoKey) };
-    if shown.next().is_some() {
+fn presented_key(names: &HeaderNames, headers: &HeaderMap) -> Result<KeyDigest, Denied> {
+    let mut presented = headers.get_all(&names.api_key).iter();
+    let Some(key) = presented.next() else { return Err(Denied::NoKey) };
+    if presented.next().is_some() {
         return Err(Denied::SeveralKeys);
     }
     match key.as_bytes() {
--- a/crates/caller/src/in_flight.rs
+++ b/crates/caller/src/in_flight.rs
@@ -11,34 +11,34 @@
 use crate::body::{BodyError, ResponseBody};
 
 /// The body of an answer; its request counts as in flight until the body is dropped.
-pub(crate) struct Counted {
+pub(crate) struct CountedBody {
     body: ResponseBody,
-    _guard: InFlight,
+    _guard: InFlightGuard,
 }
 
 /// Counts one request as in flight until it is dropped.
-pub(crate) struct InFlight(Metrics);
+pub(crate) struct InFlightGuard(Metrics);
 
-impl Counted {
-    pub(crate) fn new(body: ResponseBody, guard: InFlight) -> Self {
+impl CountedBody {
+    pub(crate) fn new(body: ResponseBody, guard: InFlightGuard) -> Self {
         Self { body, _guard: guard }
     }
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(crate) fn new(metrics: &Metrics) -> Self {
         metrics.in_flight.inc();
         Self(metrics.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.dec();
     }
 }
 
-impl Body for Counted {
+impl Body for CountedBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/caller/src/notice.rs
+++ b/crates/caller/src/notice.rs
@@ -8,7 +8,7 @@
 use crate::{Dispatch, headers, trace};
 
 /// Reports the notices in an answer. An answer 421 is ignored: a different endpoint sent it.
-pub(crate) fn hear<D: Dispatch, B>(
+pub(crate) fn report_notices<D: Dispatch, B>(
     cx: &Cx<D>,
     active_slot: &mut ActiveSlot<D::Slot>,
     res: &Response<B>,
@@ -21,15 +21,17 @@
         // before the endpoint sets its headers.
         Ok(None) if res.status().is_server_error() => {}
         Ok(limit) => active_slot.report_notice(Notice::RateLimit(limit)),
-        Err(e) => trace::bad_answer(&cx.log, &active_slot.grant().endpoint, &e),
+        Err(e) => trace::invalid_header(&cx.log, &active_slot.grant().endpoint, &e),
     }
     if headers::is_leaving(&cx.names, res.headers()) {
         active_slot.report_notice(Notice::Leaving);
     }
     if res.status() == StatusCode::SERVICE_UNAVAILABLE {
-        match headers::rest_of(res.headers()) {
-            Ok(rest) => rest.into_iter().for_each(|it| active_slot.report_notice(Notice::Rest(it))),
-            Err(e) => trace::bad_answer(&cx.log, &active_slot.grant().endpoint, &e),
+        match headers::backoff_of(res.headers()) {
+            Ok(backoff) => {
+                backoff.into_iter().for_each(|it| active_slot.report_notice(Notice::Rest(it)))
+            }
+            Err(e) => trace::invalid_header(&cx.log, &active_slot.grant().endpoint, &e),
         }
     }
 }
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -163,7 +163,7 @@
             resume.attempts_left = attempts_left;
             if self.try_resume().await.is_some() {
                 self.cx.metrics.resumes.inc();
-                trace::continued(
+                trace::resumed(
                     &self.cx,
                     &self.request,
                     &self.active_slot.grant().endpoint,
@@ -219,7 +219,7 @@
                 return None;
             }
         };
-        notice::hear(&self.cx, &mut active_slot, &res);
+        notice::report_notices(&self.cx, &mut active_slot, &res);
         if !resume.matches(&res, self.forwarded) {
             return None;
         }
--- a/crates/caller/src/content.rs
+++ b/crates/caller/src/request_key.rs
@@ -15,7 +15,7 @@
     names: &HeaderNames,
     method: &Method,
     uri: &Uri,
-    head: &HeaderMap,
+    headers: &HeaderMap,
     body: &ReceivedBody,
 ) -> RequestKey {
     let mut hasher = blake3::Hasher::new();
@@ -28,9 +28,9 @@
     add(method.as_str().as_bytes());
     add(uri.path_and_query().map_or("/", |it| it.as_str()).as_bytes());
     // Without the port, which differs between nodes on the same VM.
-    add(headers::host_of(uri, head).as_bytes());
+    add(headers::host_of(uri, headers).as_bytes());
     for name in [&names.organisation, &header::AUTHORIZATION, &header::RANGE] {
-        add(head.get(name).map_or(b"", |it| it.as_bytes()));
+        add(headers.get(name).map_or(b"", |it| it.as_bytes()));
     }
     match body {
         ReceivedBody::Complete(it, _) => add(it),
--- a/crates/caller/src/routed_request.rs
+++ b/crates/caller/src/routed_request.rs
@@ -85,11 +85,12 @@
             return Err(RouteError::Suspended);
         }
         let callers = &snapshot.config.callers;
-        let caller = Caller::of(callers, route, &cx.names, req.headers()).map_err(|denied| {
-            let fallback = fallback.filter(|_| denied.depends_on_configuration());
-            fallback.unwrap_or(RouteError::Denied(denied))
-        })?;
-        let span = Span::of(req.headers());
+        let caller =
+            Caller::identify(callers, route, &cx.names, req.headers()).map_err(|denied| {
+                let fallback = fallback.filter(|_| denied.depends_on_configuration());
+                fallback.unwrap_or(RouteError::Denied(denied))
+            })?;
+        let span = Span::from_headers(req.headers());
         let mut out = forwarded_headers(&cx.names, req, &span);
         caller.set_headers(callers, &cx.names, &mut out);
         let limit = Duration::from_millis(route.deadline_ms.into());
--- a/crates/caller/src/snapshot.rs
+++ b/crates/caller/src/snapshot.rs
@@ -9,7 +9,7 @@
 
 /// The fractional part of the golden ratio, scaled to 2⁶⁴. Its multiples modulo 2⁶⁴ are evenly
 /// distributed, so that the shares of a split hold over any short sequence of requests.
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A configuration, and the position of each split route in its sequence.
 #[derive(Debug, Default)]
@@ -17,29 +17,29 @@
     /// The configuration in force.
     pub config: Config,
     /// By the names of the routes. Each position starts at random and advances with every request.
-    turns: FxHashMap<Name, AtomicU64>,
+    positions: FxHashMap<Name, AtomicU64>,
 }
 
 impl Snapshot {
     /// A snapshot of `config` with random start positions.
     pub fn new(config: Config) -> Self {
         let split = config.routes.iter().filter(|it| !it.split.is_empty());
-        let turns = split.map(|it| (it.name.clone(), AtomicU64::new(rand::random()))).collect();
-        Self { config, turns }
+        let positions = split.map(|it| (it.name.clone(), AtomicU64::new(rand::random()))).collect();
+        Self { config, positions }
     }
 
     /// Picks the service for the next request of a route, in proportion to the weights of its
     /// split.
     pub(crate) fn pick_service(&self, route: &Route) -> Name {
-        let turn = match self.turns.get(&route.name) {
-            Some(it) => it.fetch_add(GOLDEN, Ordering::Relaxed),
+        let position = match self.positions.get(&route.name) {
+            Some(it) => it.fetch_add(GOLDEN_RATIO, Ordering::Relaxed),
             None => 0,
         };
         let total: u64 = route.shares().map(|(_, weight)| u64::from(weight)).sum();
-        let mut at = ((u128::from(turn) * u128::from(total)) >> 64) as u64;
+        let mut offset = ((u128::from(position) * u128::from(total)) >> 64) as u64;
         for (service, weight) in route.shares() {
-            match at.checked_sub(weight.into()) {
-                Some(rest) => at = rest,
+            match offset.checked_sub(weight.into()) {
+                Some(remainder) => offset = remainder,
                 None => return service.clone(),
             }
         }
--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -11,8 +11,8 @@
 use crate::answer::GiveUp;
 use crate::attempt::answer_kind;
 use crate::body::ReceivedBody;
-use crate::content::request_key;
 use crate::headers::{HeaderNames, Span, deadline_of, host_of, strip_hop_by_hop};
+use crate::request_key::request_key;
 use crate::snapshot::Snapshot;
 
 fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
@@ -73,12 +73,12 @@
 #[test]
 fn a_trace_is_continued_and_a_broken_one_starts_anew() {
     let text = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
-    let span = Span::of(&headers(&[("traceparent", text)]));
+    let span = Span::from_headers(&headers(&[("traceparent", text)]));
     assert_eq!((span.trace, span.parent), (0x0af7651916cd43dd8448eb211c80319c, 0xb7ad6b7169203331));
     let child = span.child();
     assert_eq!((child.trace, child.parent), (span.trace, span.id));
     for broken in ["", "00-1-2-01", "00-00000000000000000000000000000000-b7ad6b7169203331-01"] {
-        let span = Span::of(&headers(&[("traceparent", broken)]));
+        let span = Span::from_headers(&headers(&[("traceparent", broken)]));
         assert_eq!(span.parent, 0);
         assert_ne!(span.trace, 0);
     }
--- a/crates/caller/src/tests/identity.rs
+++ b/crates/caller/src/tests/identity.rs
@@ -32,19 +32,19 @@
 fn check(
     config: &Config,
     path: &str,
-    shown: &[(&'static str, &[u8])],
+    presented: &[(&'static str, &[u8])],
     expected: Result<&str, Denied>,
 ) {
     let route = config.routes.find("", path, "GET").unwrap();
-    let headers = headers(shown);
-    let caller = Caller::of(&config.callers, route, &names(), &headers);
-    assert_eq!(caller.as_ref().map(Caller::name).map_err(|it| *it), expected, "{shown:?}");
+    let headers = headers(presented);
+    let caller = Caller::identify(&config.callers, route, &names(), &headers);
+    assert_eq!(caller.as_ref().map(Caller::name).map_err(|it| *it), expected, "{presented:?}");
     let Ok(caller) = caller else { return };
     let mut out = headers;
     caller.set_headers(&config.callers, &names(), &mut out);
-    let told = out.get("x-organisation").map(|it| it.to_str().unwrap());
-    assert_eq!(told.unwrap_or(""), expected.unwrap(), "{shown:?}");
-    assert!(!out.contains_key("x-key"), "{shown:?}");
+    let sent = out.get("x-organisation").map(|it| it.to_str().unwrap());
+    assert_eq!(sent.unwrap_or(""), expected.unwrap(), "{presented:?}");
+    assert!(!out.contains_key("x-key"), "{presented:?}");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let config = config(Access::Keys);
     let route = config.routes.find("", "/c", "GET").unwrap();
     let headers = headers(&[("x-key", b"key-a")]);
-    let caller = Caller::of(&config.callers, route, &names(), &headers).unwrap();
+    let caller = Caller::identify(&config.callers, route, &names(), &headers).unwrap();
     assert_eq!((caller.weight(), caller.is_limited()), (3, true));
     assert_eq!(caller.priority(), Some(resources::Priority(0)));
     assert!(caller.is_still_valid(&config.callers));
--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -46,34 +46,39 @@
     id: Option<&HeaderValue>,
     version: u64,
     status: StatusCode,
-    why: &'static str,
+    reason: &'static str,
 ) {
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or("(none)");
     warn!(log, "request refused";
-        "request_id" => id, "config" => version, "status" => status.as_u16(), "reason" => why);
+        "request_id" => id, "config" => version, "status" => status.as_u16(), "reason" => reason);
 }
 
 /// A send that has ended.
-pub(crate) struct Send<'a> {
+pub(crate) struct SendRecord<'a> {
     pub(crate) span: &'a Span,
     pub(crate) endpoint: &'a str,
     pub(crate) slot_by: &'static str,
     pub(crate) tier: Tier,
-    pub(crate) doubt: Doubt,
+    pub(crate) health: Doubt,
     pub(crate) outcome: &'static str,
     pub(crate) elapsed: Duration,
 }
 
 /// Logs a send. A send that was answered is logged only at debug level, because its request is
 /// logged as well.
-pub(crate) fn send(log: &Logger, names: &HeaderNames, request: &RoutedRequest, it: &Send<'_>) {
+pub(crate) fn send(
+    log: &Logger,
+    names: &HeaderNames,
+    request: &RoutedRequest,
+    it: &SendRecord<'_>,
+) {
     macro_rules! record {
         ($level:ident) => {
             $level!(log, "send";
                 "request_id" => request.request_id(names), "endpoint" => it.endpoint,
                 "content" => %Hex64(request.key.0), "outcome" => it.outcome, "slot_by" => it.slot_by,
-                "choice" => it.tier.name(), "sick" => f64::from(it.doubt.sick_permille) / 1e3,
-                "evidence_ms" => it.doubt.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
+                "choice" => it.tier.name(), "sick" => f64::from(it.health.sick_permille) / 1e3,
+                "evidence_ms" => it.health.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
                 "left_ms" => request.left().as_millis() as u64, "span" => %Hex64(it.span.id),
                 "parent" => %Hex64(it.span.parent))
         };
@@ -85,12 +90,12 @@
 }
 
 /// Logs an invalid header of an answer.
-pub(crate) fn bad_answer(log: &Logger, endpoint: &str, error: &BadNumber) {
+pub(crate) fn invalid_header(log: &Logger, endpoint: &str, error: &BadNumber) {
     warn!(log, "invalid header in an answer"; "endpoint" => endpoint, "error" => %error);
 }
 
 /// Logs that a download was resumed on another endpoint.
-pub(crate) fn continued<D>(cx: &Cx<D>, request: &RoutedRequest, endpoint: &str, sent: u64) {
+pub(crate) fn resumed<D>(cx: &Cx<D>, request: &RoutedRequest, endpoint: &str, sent: u64) {
     info!(cx.log, "download resumed"; "request_id" => request.request_id(&cx.names),
         "endpoint" => endpoint, "sent_bytes" => sent);
 }
@@ -108,9 +113,9 @@
 }
 
 /// Logs why a request is given up.
-pub(crate) fn give_up(log: &Logger, names: &HeaderNames, request: &RoutedRequest, why: GiveUp) {
-    warn!(log, "request given up"; "request_id" => request.request_id(names), "reason" => why.reason,
-        "outcome" => why.outcome(), "left_ms" => request.left().as_millis() as u64);
+pub(crate) fn give_up(log: &Logger, names: &HeaderNames, request: &RoutedRequest, give_up: GiveUp) {
+    warn!(log, "request given up"; "request_id" => request.request_id(names), "reason" => give_up.reason,
+        "outcome" => give_up.outcome(), "left_ms" => request.left().as_millis() as u64);
 }
 
 /// Formats an ID with 16 hexadecimal digits.
