--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -143,7 +143,7 @@
 /// immediately, because the process may be restarted soon, and because a repeat that is sent before
 /// the crash is known could crash the next endpoint.
 pub(crate) async fn classify_break<D: Dispatch>(cx: &Cx<D>, addr: SocketAddr) -> Kind {
-    if cx.pool.has_ended(addr).await { Kind::Crashed } else { Kind::Failed }
+    if cx.pool.refuses_connections(addr).await { Kind::Crashed } else { Kind::Failed }
 }
 
 /// Checks the head of an answer, reads the body as far as it is buffered and reports the outcome.
--- a/crates/upstream/src/answer.rs
+++ b/crates/upstream/src/answer.rs
@@ -8,7 +8,7 @@
 use http_body::{Body, Frame, SizeHint};
 use hyper::body::Incoming;
 
-use crate::pool::KeptConnection;
+use crate::pool::ReusableConnection;
 
 /// The body of an answer. hyper checks its length or its final chunk. A body with neither ends with
 /// its connection: a clean close means that the body is complete, a reset that it is truncated.
@@ -17,24 +17,24 @@
     B: Body<Data = Bytes> + Send + Unpin + 'static,
 {
     body: Incoming,
-    conn: Option<KeptConnection<B>>,
+    conn: Option<ReusableConnection<B>>,
 }
 
 impl<B> AnswerBody<B>
 where
     B: Body<Data = Bytes> + Send + Unpin + 'static,
 {
-    pub(crate) fn new(body: Incoming, conn: Option<KeptConnection<B>>) -> Self {
+    pub(crate) fn new(body: Incoming, conn: Option<ReusableConnection<B>>) -> Self {
         let mut it = Self { body, conn };
         if it.body.is_end_stream() {
-            it.give_back();
+            it.return_to_pool();
         }
         it
     }
 
-    fn give_back(&mut self) {
+    fn return_to_pool(&mut self) {
         if let Some(conn) = self.conn.take() {
-            conn.give_back();
+            conn.return_to_pool();
         }
     }
 }
@@ -52,9 +52,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         match &frame {
-            None => self.give_back(),
+            None => self.return_to_pool(),
             Some(Err(_)) => self.conn = None,
-            Some(Ok(_)) if self.body.is_end_stream() => self.give_back(),
+            Some(Ok(_)) if self.body.is_end_stream() => self.return_to_pool(),
             Some(Ok(_)) => {}
         }
         Poll::Ready(frame)
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -28,12 +28,12 @@
 
 /// Idle connections are used for this fraction of the time that the endpoint announces in
 /// `Keep-Alive`. Existing endpoints announce ten seconds, in whole seconds.
-const KEEP_ALIVE_PART: f64 = 0.7;
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
 
 /// Time limit of the check whether an endpoint's process has ended. A host whose process has ended
 /// refuses the connection within a round trip; a host that is cut off does not answer at all, and
 /// the caller waits meanwhile.
-const LOOK_FOR: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Whether a send may use an idle connection.
 ///
@@ -91,7 +91,7 @@
 
 struct Idle<B> {
     tx: SendRequest<B>,
-    until: Moment,
+    expires: Moment,
 }
 
 impl<B> Clone for Pool<B> {
@@ -123,8 +123,8 @@
             match self.exchange(addr, tx, req, reuse).await {
                 // The upstream has closed the idle connection. Nothing was written, and a closed
                 // idle connection is no sign of a failure.
-                Err(SendError { failure: Failure::NotWritten, req: Some(back) }) => req = back,
-                done => return done,
+                Err(SendError { failure: Failure::NotWritten, req: Some(unsent) }) => req = unsent,
+                result => return result,
             }
         }
         match self.connect(addr).await {
@@ -136,9 +136,9 @@
     /// Whether the process behind an address has ended, that is, its port refuses connections.
     /// Meant to be called right after a connection broke, because a reset alone may also come from
     /// a running process.
-    pub async fn has_ended(&self, addr: SocketAddr) -> bool {
-        let look = tokio::time::timeout(LOOK_FOR, TcpStream::connect(addr)).await;
-        matches!(look, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
+    pub async fn refuses_connections(&self, addr: SocketAddr) -> bool {
+        let probe = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await;
+        matches!(probe, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
     }
 
     /// Sends a request on a given connection.
@@ -150,7 +150,7 @@
         reuse: Reuse,
     ) -> Result<Response<AnswerBody<B>>, SendError<B>> {
         match tx.try_send_request(req).await {
-            Ok(res) => Ok(self.answer(addr, tx, res, reuse)),
+            Ok(res) => Ok(self.attach_connection(addr, tx, res, reuse)),
             Err(mut error) => {
                 let req = error.take_message();
                 let failure = match req {
@@ -163,19 +163,19 @@
     }
 
     /// Attaches the connection to the body of the answer if the connection may be used again.
-    fn answer(
+    fn attach_connection(
         &self,
         addr: SocketAddr,
         tx: SendRequest<B>,
         res: Response<Incoming>,
         reuse: Reuse,
     ) -> Response<AnswerBody<B>> {
-        let idle_for = idle_time(res.headers());
+        let max_idle = idle_time(res.headers());
         // A connection that will not be used again is closed after its answer, because endpoints
         // accept few connections.
-        let kept =
-            (reuse == Reuse::Allowed).then(|| KeptConnection::new(tx, addr, idle_for, &self.inner));
-        res.map(|body| AnswerBody::new(body, kept))
+        let reusable = (reuse == Reuse::Allowed)
+            .then(|| ReusableConnection::new(tx, addr, max_idle, &self.inner));
+        res.map(|body| AnswerBody::new(body, reusable))
     }
 
     /// Opens a connection.
@@ -199,7 +199,7 @@
         let mut idle = self.idle.lock();
         let conns = idle.get_mut(&addr)?;
         while let Some(it) = conns.pop() {
-            if it.tx.is_ready() && Moment::now() < it.until {
+            if it.tx.is_ready() && Moment::now() < it.expires {
                 return Some(it.tx);
             }
         }
@@ -207,49 +207,49 @@
     }
 
     /// Returns a connection to the pool once it is ready for the next request.
-    async fn put(&self, addr: SocketAddr, mut tx: SendRequest<B>, idle_for: Duration) {
+    async fn put(&self, addr: SocketAddr, mut tx: SendRequest<B>, max_idle: Duration) {
         if tx.ready().await.is_err() {
             return;
         }
         let now = Moment::now();
         let mut idle = self.idle.lock();
         let conns = idle.entry(addr).or_default();
-        conns.retain(|it| now < it.until);
+        conns.retain(|it| now < it.expires);
         if conns.len() < MAX_IDLE {
-            conns.push(Idle { tx, until: now + idle_for });
+            conns.push(Idle { tx, expires: now + max_idle });
         }
     }
 }
 
 /// A connection that returns to the pool after the complete answer was read.
-pub(crate) struct KeptConnection<B> {
+pub(crate) struct ReusableConnection<B> {
     tx: SendRequest<B>,
     addr: SocketAddr,
-    idle_for: Duration,
+    max_idle: Duration,
     pool: Arc<Inner<B>>,
 }
 
-impl<B> KeptConnection<B>
+impl<B> ReusableConnection<B>
 where
     B: Body<Data = Bytes> + Send + Unpin + 'static,
 {
-    fn new(tx: SendRequest<B>, addr: SocketAddr, idle_for: Duration, pool: &Arc<Inner<B>>) -> Self {
-        Self { tx, addr, idle_for, pool: pool.clone() }
+    fn new(tx: SendRequest<B>, addr: SocketAddr, max_idle: Duration, pool: &Arc<Inner<B>>) -> Self {
+        Self { tx, addr, max_idle, pool: pool.clone() }
     }
 
-    pub(crate) fn give_back(self) {
-        tokio::spawn(async move { self.pool.put(self.addr, self.tx, self.idle_for).await });
+    pub(crate) fn return_to_pool(self) {
+        tokio::spawn(async move { self.pool.put(self.addr, self.tx, self.max_idle).await });
     }
 }
 
 /// How long a connection may stay idle. Respects `Keep-Alive: timeout=…` in the answer.
 fn idle_time(headers: &HeaderMap) -> Duration {
-    let said = headers.get("keep-alive").and_then(|it| it.to_str().ok());
-    let seconds = said.and_then(|it| {
+    let announced = headers.get("keep-alive").and_then(|it| it.to_str().ok());
+    let seconds = announced.and_then(|it| {
         let parts = it.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
         parts.filter_map(|it| it.trim().parse().ok()).next()
     });
     seconds.map_or(IDLE_LIFETIME, |it| {
-        Duration::from_secs(it).mul_f64(KEEP_ALIVE_PART).min(IDLE_LIFETIME)
+        Duration::from_secs(it).mul_f64(KEEP_ALIVE_FRACTION).min(IDLE_LIFETIME)
     })
 }
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -12,7 +12,7 @@
 /// What a scripted server does with one connection after it has read a request.
 #[derive(Clone, Copy)]
 enum Script {
-    Say(&'static str),
+    Answer(&'static str),
     CloseBeforeAnswer,
 }
 
@@ -27,7 +27,7 @@
             let mut buf = [0; 1024];
             let n = stream.read(&mut buf).await.unwrap();
             assert!(n > 0);
-            if let Script::Say(text) = script {
+            if let Script::Answer(text) = script {
                 stream.write_all(text.as_bytes()).await.unwrap();
             }
         }
@@ -65,7 +65,7 @@
         "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
     ] {
-        let scripts: &'static [Script] = Box::leak(Box::new([Script::Say(text)]));
+        let scripts: &'static [Script] = Box::leak(Box::new([Script::Answer(text)]));
         let addr = serve(scripts).await;
         let res = pool().send(addr, post(), Reuse::Allowed).await.ok().unwrap();
         assert!(res.into_body().collect().await.is_err(), "{text}");
@@ -98,16 +98,16 @@
 }
 
 #[tokio::test]
-async fn an_answer_without_a_length_is_whole_only_if_its_connection_ends_cleanly() {
+async fn an_answer_without_a_length_is_complete_only_if_its_connection_ends_cleanly() {
     assert_eq!(&unframed(Ending::Clean).await.unwrap()[..], b"abc");
     assert!(unframed(Ending::Reset).await.is_err());
 }
 
 #[tokio::test]
 async fn a_send_that_wants_a_new_connection_gets_one() {
-    const WHOLE: Script = Script::Say("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
+    const COMPLETE: Script = Script::Answer("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
     // The server answers only one request per connection.
-    let addr = serve(&[WHOLE, WHOLE]).await;
+    let addr = serve(&[COMPLETE, COMPLETE]).await;
     let pool = pool();
     for _ in 0..2 {
         let res = pool.send(addr, post(), Reuse::Never).await.ok().unwrap();
@@ -117,9 +117,9 @@
 
 #[tokio::test]
 async fn a_connection_is_not_reused_after_an_answer_that_was_given_up() {
-    const LONG: Script = Script::Say("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nabc");
-    const WHOLE: Script = Script::Say("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
-    let addr = serve(&[LONG, WHOLE]).await;
+    const TRUNCATED: Script = Script::Answer("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nabc");
+    const COMPLETE: Script = Script::Answer("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
+    let addr = serve(&[TRUNCATED, COMPLETE]).await;
     let pool = pool();
     drop(pool.send(addr, post(), Reuse::Allowed).await.ok().unwrap());
     let res = pool.send(addr, post(), Reuse::Allowed).await.ok().unwrap();
--- a/crates/upstream/tests/suspended.rs
+++ b/crates/upstream/tests/suspended.rs
@@ -11,7 +11,7 @@
 use upstream::{Pool, Reuse};
 
 /// Number of yields, more than the tasks of the pool need to finish.
-const TURNS: usize = 100;
+const YIELDS: usize = 100;
 
 #[tokio::test]
 async fn a_connection_that_was_idle_during_a_suspension_is_not_used_again() {
@@ -31,7 +31,7 @@
     };
     let ((), first) = tokio::join!(exchange, serve);
     // The connection returns to the pool in a separate task.
-    for _ in 0..TURNS {
+    for _ in 0..YIELDS {
         yield_now().await;
     }
     clock::suspend(Duration::from_secs(60));
