--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -9,7 +9,7 @@
 
 /// A request for a slot.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct SlotRequest {
     /// The route that the request matched.
     pub route: Arc<Route>,
     /// The service that the request is sent to.
@@ -119,5 +119,8 @@
     fn admit(&self, organisation: u64) -> impl Future<Output = Admission> + Send;
 
     /// Waits for a slot. Dropping the future cancels the request for it.
-    fn acquire(&self, want: Want) -> impl Future<Output = Result<Self::Slot, Refused>> + Send;
+    fn acquire(
+        &self,
+        want: SlotRequest,
+    ) -> impl Future<Output = Result<Self::Slot, Refused>> + Send;
 }
--- a/crates/caller/src/routed_request.rs
+++ b/crates/caller/src/routed_request.rs
@@ -16,7 +16,7 @@
 use crate::cx::Cx;
 use crate::headers::{self, HeaderNames, Span};
 use crate::identity::{Caller, Denied};
-use crate::{Snapshot, Want};
+use crate::{SlotRequest, Snapshot};
 
 /// How long to wait past the deadline for the endpoint's own timeout answer: a round trip plus
 /// scheduling delay. Endpoints receive the deadline, and answer when they stop at it.
@@ -159,8 +159,8 @@
     }
 
     /// The slot request for the first send. `avoid` lists endpoints to use only as a last resort.
-    pub(crate) fn slot_request(&self, avoid: Vec<SocketAddr>) -> Want {
-        Want {
+    pub(crate) fn slot_request(&self, avoid: Vec<SocketAddr>) -> SlotRequest {
+        SlotRequest {
             route: self.route.clone(),
             service: self.service.clone(),
             request: self.key,
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -19,7 +19,7 @@
 use crate::body::{ReceivedBody, RequestBody, ResponseBody};
 use crate::cx::Cx;
 use crate::routed_request::RoutedRequest;
-use crate::{Dispatch, Refused, Slot, Want, Why};
+use crate::{Dispatch, Refused, Slot, SlotRequest, Why};
 
 /// `retry-after` for requests that failed at an endpoint instead of being refused by a queue. After
 /// this delay the next attempt probably gets a different endpoint. Callers wait at most a third of
@@ -61,7 +61,7 @@
     let mut progress = Progress::default();
     let mut error_answer = None;
     loop {
-        let slot_request = Want {
+        let slot_request = SlotRequest {
             send: progress.send_kind(),
             is_last: request.is_last_send(progress.reached),
             ..request.slot_request(cx.unreachable.to_avoid(&progress.tried))
@@ -165,7 +165,7 @@
 async fn acquire<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &RoutedRequest,
-    slot_request: Want,
+    slot_request: SlotRequest,
 ) -> Result<D::Slot, Refused> {
     let started = Instant::now();
     let slot = clock::timeout_at(request.deadline, acquire_skipping_closed(cx, slot_request)).await;
@@ -178,7 +178,7 @@
 /// accepts no requests from this node.
 pub(crate) async fn acquire_skipping_closed<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    mut slot_request: Want,
+    mut slot_request: SlotRequest,
 ) -> Result<D::Slot, Refused> {
     for _ in 0..MAX_CLOSED_GRANTS {
         match cx.dispatch.acquire(slot_request.clone()).await {
@@ -268,8 +268,11 @@
     is_sent: &AtomicBool,
 ) -> Option<SendResult> {
     let slot = loop {
-        let slot_request =
-            Want { send: SendKind::Further, wait: false, ..request.slot_request(avoid.clone()) };
+        let slot_request = SlotRequest {
+            send: SendKind::Further,
+            wait: false,
+            ..request.slot_request(avoid.clone())
+        };
         match acquire(cx, request, slot_request).await {
             Ok(slot) => break slot,
             Err(Refused { why: Why::CrashesEndpoints, .. }) => return None,
--- a/crates/caller/tests/suspended.rs
+++ b/crates/caller/tests/suspended.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use caller::{Admission, Dispatch, Refused, Slot, Want};
+use caller::{Admission, Dispatch, Refused, Slot, SlotRequest};
 use policy::{Grant, Kind, Notice};
 use resources::{Name, Route};
 use tokio::net::TcpListener;
@@ -45,7 +45,7 @@
         Admission::Granted
     }
 
-    async fn acquire(&self, _: Want) -> Result<Granted, Refused> {
+    async fn acquire(&self, _: SlotRequest) -> Result<Granted, Refused> {
         clock::suspend(Duration::from_secs(60));
         Ok(Granted(self.0.clone()))
     }
--- a/crates/caller/tests/travelling.rs
+++ b/crates/caller/tests/travelling.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use caller::{Admission, Dispatch, Refused, Slot, Want};
+use caller::{Admission, Dispatch, Refused, Slot, SlotRequest};
 use expect_test::{Expect, expect};
 use policy::{Grant, Kind, Notice};
 use resources::{Name, Route};
@@ -65,7 +65,7 @@
         Admission::Granted
     }
 
-    async fn acquire(&self, want: Want) -> Result<Self, Refused> {
+    async fn acquire(&self, want: SlotRequest) -> Result<Self, Refused> {
         match want.send {
             policy::SendKind::First => Ok(self.clone()),
             _ if self.grants_further => Ok(self.clone()),
--- a/crates/dappleway/src/baselines.rs
+++ b/crates/dappleway/src/baselines.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use caller::{Admission, Dispatch, Refused, Slot, Want};
+use caller::{Admission, Dispatch, Refused, Slot, SlotRequest};
 use policy::{Grant, Kind, Notice, Tier};
 use resources::{Endpoint, Name, Service};
 use rustc_hash::FxHashMap;
@@ -65,7 +65,7 @@
         Admission::Granted
     }
 
-    async fn acquire(&self, want: Want) -> Result<RoundRobinSlot, Refused> {
+    async fn acquire(&self, want: SlotRequest) -> Result<RoundRobinSlot, Refused> {
         let services = self.services.borrow().clone();
         let found = services.iter().find(|it| it.name == want.service && !it.endpoints.is_empty());
         let Some(service) = found else { return Err(Refused::no_capacity(OUT)) };
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use caller::{Refused, Want, Why};
+use caller::{Refused, SlotRequest, Why};
 use fleet::{Action, Directory, PermitMessage, Place, Settlement, Wish};
 use policy::{
     Ask, Grant, Kind, NodeId, Notice, Observation, PermitId, Places, Reply, Settled, Time,
@@ -35,7 +35,7 @@
         &mut self,
         now: Time,
         id: PermitId,
-        want: &Want,
+        want: &SlotRequest,
         tx: oneshot::Sender<Result<(Grant, Place), Refused>>,
     ) {
         let service = name_hash(&want.service);
@@ -86,7 +86,7 @@
     }
 
     /// Where a request may go.
-    fn places_of(&self, want: &Want) -> Option<Box<Places>> {
+    fn places_of(&self, want: &SlotRequest) -> Option<Box<Places>> {
         let only = want.regions.as_ref().map(|it| self.topology.domains_in(it));
         Places { evacuated: self.evacuated.clone(), only }.boxed()
     }
--- a/crates/dappleway/src/event.rs
+++ b/crates/dappleway/src/event.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use caller::{Admission, Refused, Want};
+use caller::{Admission, Refused, SlotRequest};
 use fleet::{Bundle, FetchFailure, NodeInfo, Place};
 use operator::Report;
 use policy::{Grant, Kind, Notice, PermitId};
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub enum Command {
     /// Find a slot.
-    Acquire(PermitId, Want, oneshot::Sender<Result<(Grant, Place), Refused>>),
+    Acquire(PermitId, SlotRequest, oneshot::Sender<Result<(Grant, Place), Refused>>),
     /// Find out whether an organisation, by the hash of its name, may make one more request.
     Admit(u64, oneshot::Sender<Admission>),
     /// The wish for a slot is withdrawn.
--- a/crates/dappleway/src/handle.rs
+++ b/crates/dappleway/src/handle.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use caller::{Admission, Dispatch, Refused, Slot, Want};
+use caller::{Admission, Dispatch, Refused, Slot, SlotRequest};
 use fleet::Place;
 use policy::{Grant, Kind, NodeId, Notice, PermitId};
 use resources::{Name, Route};
@@ -49,7 +49,7 @@
         rx.await.unwrap_or(Admission::Unknown)
     }
 
-    async fn acquire(&self, want: Want) -> Result<HandleSlot, Refused> {
+    async fn acquire(&self, want: SlotRequest) -> Result<HandleSlot, Refused> {
         let id = PermitId { node: self.node, seq: self.next.fetch_add(1, Ordering::Relaxed) };
         let (tx, rx) = oneshot::channel();
         let mut wish = PendingWish { handle: self, id, settled: false };
