--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -42,12 +42,12 @@
     /// When the caller should retry.
     pub retry_after: Duration,
     /// Why no slot was granted.
-    pub why: Why,
+    pub reason: RefusalReason,
 }
 
 /// Why a request for a slot is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// No slot becomes free in time.
     NoCapacity,
     /// Endpoints crash when they run the request.
@@ -61,12 +61,12 @@
     /// A refusal because the granted slot belongs to an endpoint that accepts no requests from this
     /// node.
     pub fn closed() -> Self {
-        Self { retry_after: Duration::ZERO, why: Why::Closed }
+        Self { retry_after: Duration::ZERO, reason: RefusalReason::Closed }
     }
 
     /// A refusal because no slot becomes free in time.
     pub fn no_capacity(retry_after: Duration) -> Self {
-        Self { retry_after, why: Why::NoCapacity }
+        Self { retry_after, reason: RefusalReason::NoCapacity }
     }
 }
 
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -27,7 +27,7 @@
 mod unreachable;
 
 pub use answer::OUTCOME_HEADER;
-pub use dispatch::{Admission, Dispatch, Refused, Slot, SlotRequest, Why};
+pub use dispatch::{Admission, Dispatch, RefusalReason, Refused, Slot, SlotRequest};
 pub use headers::HeaderNames;
 pub use listener::{Limits, Listener, ListenerBuilder};
 pub use metrics::Metrics;
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -19,7 +19,7 @@
 use crate::body::{ReceivedBody, RequestBody, ResponseBody};
 use crate::cx::Cx;
 use crate::routed_request::RoutedRequest;
-use crate::{Dispatch, Refused, Slot, SlotRequest, Why};
+use crate::{Dispatch, RefusalReason, Refused, Slot, SlotRequest};
 
 /// `retry-after` for requests that failed at an endpoint instead of being refused by a queue. After
 /// this delay the next attempt probably gets a different endpoint. Callers wait at most a third of
@@ -154,9 +154,11 @@
         Some(res) => Ok(res),
         None if progress.unknown_before => Err(GiveUp::unknown(refused.retry_after)),
         None if progress.reached > 0 => Err(GiveUp::not_run(refused.retry_after)),
-        None => Err(match refused.why {
-            Why::NoCapacity | Why::Closed => GiveUp::overloaded(refused.retry_after),
-            Why::CrashesEndpoints => GiveUp::crashes_endpoints(refused.retry_after),
+        None => Err(match refused.reason {
+            RefusalReason::NoCapacity | RefusalReason::Closed => {
+                GiveUp::overloaded(refused.retry_after)
+            }
+            RefusalReason::CrashesEndpoints => GiveUp::crashes_endpoints(refused.retry_after),
         }),
     }
 }
@@ -182,7 +184,9 @@
 ) -> Result<D::Slot, Refused> {
     for _ in 0..MAX_CLOSED_GRANTS {
         match cx.dispatch.acquire(slot_request.clone()).await {
-            Err(Refused { why: Why::Closed, .. }) => slot_request.send = slot_request.send.again(),
+            Err(Refused { reason: RefusalReason::Closed, .. }) => {
+                slot_request.send = slot_request.send.again()
+            }
             result => return result,
         }
     }
@@ -275,7 +279,7 @@
         };
         match acquire(cx, request, slot_request).await {
             Ok(slot) => break slot,
-            Err(Refused { why: Why::CrashesEndpoints, .. }) => return None,
+            Err(Refused { reason: RefusalReason::CrashesEndpoints, .. }) => return None,
             Err(_) if request.left() <= HEDGE_RETRY_DELAY => return None,
             Err(_) => sleep(HEDGE_RETRY_DELAY).await,
         }
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use caller::{Refused, SlotRequest, Why};
+use caller::{RefusalReason, Refused, SlotRequest};
 use fleet::{Action, Directory, PermitMessage, Place, Settlement, Wish};
 use policy::{
     Ask, Grant, Kind, NodeId, Notice, Observation, PermitId, Places, Reply, Settled, Time,
@@ -49,7 +49,7 @@
             rejected.or_else(|| state.dispatcher().rejected(now, want.request))
         {
             // The caller may have left.
-            let _ = tx.send(Err(Refused { retry_after, why: Why::CrashesEndpoints }));
+            let _ = tx.send(Err(Refused { retry_after, reason: RefusalReason::CrashesEndpoints }));
             return;
         }
         let ask = Ask {
@@ -105,7 +105,10 @@
             }
             Action::Settle(id, Settlement::Rejected(retry_after)) => {
                 if let Some(it) = self.waiting.remove(&id) {
-                    let _ = it.tx.send(Err(Refused { retry_after, why: Why::CrashesEndpoints }));
+                    let _ = it.tx.send(Err(Refused {
+                        retry_after,
+                        reason: RefusalReason::CrashesEndpoints,
+                    }));
                 }
             }
         }
