--- a/crates/caller/src/cx.rs
+++ b/crates/caller/src/cx.rs
@@ -7,11 +7,11 @@
 use crate::body::RequestBody;
 use crate::body_memory::BodyMemory;
 use crate::unreachable::UnreachableEndpoints;
-use crate::{HeaderNames, Limits, Metrics, Shared};
+use crate::{HeaderNames, Limits, Metrics, SharedSnapshot};
 
 /// State shared by all requests of a listener.
 pub(crate) struct Cx<D> {
-    pub(crate) shared: Shared,
+    pub(crate) shared: SharedSnapshot,
     pub(crate) dispatch: D,
     pub(crate) pool: Pool<RequestBody>,
     pub(crate) unreachable: UnreachableEndpoints,
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -31,7 +31,7 @@
 pub use headers::HeaderNames;
 pub use listener::{Limits, Listener, ListenerBuilder};
 pub use metrics::Metrics;
-pub use snapshot::{Shared, Snapshot};
+pub use snapshot::{SharedSnapshot, Snapshot};
 
 #[cfg(test)]
 mod tests;
--- a/crates/caller/src/listener.rs
+++ b/crates/caller/src/listener.rs
@@ -18,7 +18,7 @@
 use crate::cx::Cx;
 use crate::exchange::serve;
 use crate::unreachable::UnreachableEndpoints;
-use crate::{Dispatch, HeaderNames, Metrics, Shared};
+use crate::{Dispatch, HeaderNames, Metrics, SharedSnapshot};
 
 /// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +62,7 @@
 
 impl<D: Dispatch> ListenerBuilder<D> {
     /// A listener that serves the configuration in `shared` with slots from `dispatch`.
-    pub fn new(shared: Shared, dispatch: D, names: HeaderNames, metrics: Metrics) -> Self {
+    pub fn new(shared: SharedSnapshot, dispatch: D, names: HeaderNames, metrics: Metrics) -> Self {
         let limits = Limits::default();
         let cx = Cx {
             shared,
--- a/crates/caller/src/snapshot.rs
+++ b/crates/caller/src/snapshot.rs
@@ -49,12 +49,12 @@
 
 /// The current snapshot, shared by all threads.
 #[derive(Clone, Debug, Default)]
-pub struct Shared {
+pub struct SharedSnapshot {
     current: Arc<ArcSwap<Snapshot>>,
     is_fresh: Arc<AtomicBool>,
 }
 
-impl Shared {
+impl SharedSnapshot {
     /// The snapshot in force.
     pub fn load(&self) -> Guard<Arc<Snapshot>> {
         self.current.load()
--- a/crates/caller/tests/bed/mod.rs
+++ b/crates/caller/tests/bed/mod.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use caller::{Dispatch, HeaderNames, ListenerBuilder, Metrics, Shared};
+use caller::{Dispatch, HeaderNames, ListenerBuilder, Metrics, SharedSnapshot};
 use http::HeaderName;
 use policy::{Grant, Tier};
 use prometheus::Registry;
@@ -35,7 +35,7 @@
 
 /// Sends a request to a listener that takes its slots from `dispatch`, and returns the raw answer.
 pub async fn request(dispatch: impl Dispatch) -> String {
-    let shared = Shared::default();
+    let shared = SharedSnapshot::default();
     shared.publish(Config::compile(serde_json::from_str(CONFIG).unwrap()).unwrap());
     let header = HeaderName::from_static;
     let names = HeaderNames {
--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -22,7 +22,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use caller::{Refused, Shared};
+use caller::{Refused, SharedSnapshot};
 use clock::Moment;
 use fleet::{Client, Delivery, Directory, Edge, Exchange, Keys, Phase, Place};
 use operator::Published as InForce;
@@ -73,7 +73,7 @@
 /// The other ends of what the control thread writes to.
 pub struct Outputs {
     /// The snapshot for traffic threads.
-    pub shared: Shared,
+    pub shared: SharedSnapshot,
     /// What is in force, for the API.
     pub published: watch::Sender<InForce>,
     /// The services with their endpoints, for the baselines.
--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -3,7 +3,7 @@
 
 use clock::Moment;
 
-use caller::Shared;
+use caller::SharedSnapshot;
 use fleet::{
     Capacity, Client, Edge, Exchange, Frame, Gossip, Identity, Key, Keys, Message, NodeInfo, Phase,
 };
@@ -80,7 +80,7 @@
         topology: Default::default(),
         metrics: ControlMetrics::register(&Registry::new()).unwrap(),
         outputs: Outputs {
-            shared: Shared::default(),
+            shared: SharedSnapshot::default(),
             published: watch::channel(Default::default()).0,
             services: watch::channel(Default::default()).0,
             not_ready: watch::channel(None).0,
--- a/crates/dappleway/src/node.rs
+++ b/crates/dappleway/src/node.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anyhow::{Context, anyhow};
-use caller::{Dispatch, Limits, ListenerBuilder, Metrics, Shared};
+use caller::{Dispatch, Limits, ListenerBuilder, Metrics, SharedSnapshot};
 use clock::Moment;
 use fleet::{
     Backlog, Bundle, Client, Edge, Exchange, Identity, Keys, NodeInfo, ServedFetch, serve_fetches,
@@ -47,7 +47,7 @@
     let Logging { log, level, budget, guard } =
         Logging::new(&settings.log, &settings.node.addr.to_string(), &registry)?;
     let metrics = Metrics::register(&registry)?;
-    let shared = Shared::default();
+    let shared = SharedSnapshot::default();
     let (events, received) = mpsc::unbounded_channel();
     let (services_tx, services) = watch::channel(Services::default());
     let (token, access) = watch::channel(token);
@@ -92,7 +92,7 @@
 
 /// What the control thread writes for others.
 struct Outlets {
-    shared: Shared,
+    shared: SharedSnapshot,
     services: watch::Sender<Services>,
     registry: Registry,
     token: watch::Receiver<Option<Token>>,
@@ -247,7 +247,7 @@
 /// The traffic side of a node.
 struct Traffic<'a> {
     settings: &'a Settings,
-    shared: Shared,
+    shared: SharedSnapshot,
     services: watch::Receiver<Services>,
     metrics: Metrics,
     events: mpsc::UnboundedSender<Event>,
