--- a/crates/caller/src/headers.rs
+++ b/crates/caller/src/headers.rs
@@ -15,7 +15,7 @@
     /// Remaining time in milliseconds. Accepted from callers and sent to upstreams.
     pub deadline: HeaderName,
     /// ID of the endpoint that a request is intended for. Sent to upstreams.
-    pub wanted_endpoint: HeaderName,
+    pub target_endpoint: HeaderName,
     /// Set by an upstream that refused a request before it did any work on it.
     pub not_run: HeaderName,
     /// Rate limit of an overloaded upstream, in requests per second from all nodes together.
--- a/crates/caller/src/routed_request.rs
+++ b/crates/caller/src/routed_request.rs
@@ -192,7 +192,7 @@
         req.headers_mut().insert(names.deadline.clone(), left.into());
         req.headers_mut().insert(headers::TRACEPARENT, span.header());
         if let Ok(id) = HeaderValue::from_str(endpoint) {
-            req.headers_mut().insert(names.wanted_endpoint.clone(), id);
+            req.headers_mut().insert(names.target_endpoint.clone(), id);
         }
         req
     }
--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -26,7 +26,7 @@
     HeaderNames {
         request_id: HeaderName::from_static("x-id"),
         deadline: HeaderName::from_static("x-left"),
-        wanted_endpoint: HeaderName::from_static("x-wanted"),
+        target_endpoint: HeaderName::from_static("x-wanted"),
         not_run: HeaderName::from_static("x-not-run"),
         rate_limit: HeaderName::from_static("x-limit"),
         leaving: HeaderName::from_static("x-leaving"),
--- a/crates/caller/tests/bed/mod.rs
+++ b/crates/caller/tests/bed/mod.rs
@@ -41,7 +41,7 @@
     let names = HeaderNames {
         request_id: header("x-request-id"),
         deadline: header("x-left-ms"),
-        wanted_endpoint: header("x-endpoint"),
+        target_endpoint: header("x-endpoint"),
         not_run: header("x-not-run"),
         rate_limit: header("x-limit"),
         leaving: header("x-leaving"),
