--- a/crates/caller/src/active_slot.rs
+++ b/crates/caller/src/active_slot.rs
@@ -112,7 +112,7 @@
         let Some(elapsed) = self.head_after.filter(|_| !self.is_start_reported) else { return };
         self.is_start_reported = true;
         if let Some(slot) = &mut self.slot {
-            slot.answer_began(elapsed);
+            slot.report_answer_start(elapsed);
         }
     }
 
@@ -121,7 +121,7 @@
     pub(crate) fn report_notice(&mut self, notice: Notice) {
         let is_change = self.grant.is_rate_limited || notice != Notice::RateLimit(None);
         if let Some(slot) = self.slot.as_mut().filter(|_| is_change) {
-            slot.noticed(notice);
+            slot.report_notice(notice);
         }
     }
 
@@ -135,7 +135,7 @@
         self.is_stall_reported = true;
         let elapsed = self.last_activity.elapsed();
         if let Some(slot) = &mut self.slot {
-            slot.stalled(elapsed);
+            slot.report_stall(elapsed);
         }
     }
 
--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -92,11 +92,11 @@
     /// Which dispatcher granted the slot, for logs.
     fn granted_by(&self) -> &'static str;
     /// Reports that the request is stalled. It is still open.
-    fn stalled(&mut self, elapsed: Duration);
+    fn report_stall(&mut self, elapsed: Duration);
     /// Reports that a long answer has begun.
-    fn answer_began(&mut self, elapsed: Duration);
+    fn report_answer_start(&mut self, elapsed: Duration);
     /// Reports a notice that the endpoint sent in an answer, such as a rate limit.
-    fn noticed(&mut self, notice: Notice);
+    fn report_notice(&mut self, notice: Notice);
     /// Releases the slot and reports how the request ended.
     fn end(self, kind: Kind, elapsed: Duration);
 }
@@ -108,11 +108,11 @@
 
     /// Reports that `service` did not serve a request of `route`, which is split between several
     /// services.
-    fn unserved(&self, route: &Arc<Route>, service: &Name);
+    fn record_unserved(&self, route: &Arc<Route>, service: &Name);
 
     /// Reports that a request of `route` was refused because the organisation's allowance is used
     /// up or unknown.
-    fn refused(&self, route: &Arc<Route>);
+    fn record_refused(&self, route: &Arc<Route>);
 
     /// Takes one request from the allowance of an organisation, which is given by the hash of its
     /// name.
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -42,7 +42,7 @@
         Ok(request) => match admit(cx, &request).await {
             Ok(()) => run(cx, request, req.into_body(), started).await,
             Err(give_up) => {
-                cx.dispatch.refused(&request.route);
+                cx.dispatch.record_refused(&request.route);
                 given_up(cx, &request, give_up, started)
             }
         },
@@ -147,7 +147,7 @@
     // The availability target of each service of a split route includes all requests of the route,
     // also those that went to another of its services.
     if res.status().is_server_error() && !request.route.split.is_empty() {
-        cx.dispatch.unserved(&request.route, &request.service);
+        cx.dispatch.record_unserved(&request.route, &request.service);
     }
     res
 }
--- a/crates/caller/tests/suspended.rs
+++ b/crates/caller/tests/suspended.rs
@@ -25,11 +25,11 @@
         "test"
     }
 
-    fn stalled(&mut self, _: Duration) {}
+    fn report_stall(&mut self, _: Duration) {}
 
-    fn answer_began(&mut self, _: Duration) {}
+    fn report_answer_start(&mut self, _: Duration) {}
 
-    fn noticed(&mut self, _: Notice) {}
+    fn report_notice(&mut self, _: Notice) {}
 
     fn end(self, _: Kind, _: Duration) {}
 }
@@ -37,9 +37,9 @@
 impl Dispatch for Suspended {
     type Slot = Granted;
 
-    fn unserved(&self, _: &Arc<Route>, _: &Name) {}
+    fn record_unserved(&self, _: &Arc<Route>, _: &Name) {}
 
-    fn refused(&self, _: &Arc<Route>) {}
+    fn record_refused(&self, _: &Arc<Route>) {}
 
     async fn admit(&self, _: u64) -> Admission {
         Admission::Granted
--- a/crates/caller/tests/travelling.rs
+++ b/crates/caller/tests/travelling.rs
@@ -37,15 +37,15 @@
         "test"
     }
 
-    fn stalled(&mut self, _: Duration) {
+    fn report_stall(&mut self, _: Duration) {
         self.tell("stalled");
     }
 
-    fn answer_began(&mut self, _: Duration) {
+    fn report_answer_start(&mut self, _: Duration) {
         self.tell("began");
     }
 
-    fn noticed(&mut self, notice: Notice) {
+    fn report_notice(&mut self, notice: Notice) {
         self.tell(format!("{notice:?}"));
     }
 
@@ -57,9 +57,9 @@
 impl Dispatch for Recorder {
     type Slot = Self;
 
-    fn unserved(&self, _: &Arc<Route>, _: &Name) {}
+    fn record_unserved(&self, _: &Arc<Route>, _: &Name) {}
 
-    fn refused(&self, _: &Arc<Route>) {}
+    fn record_refused(&self, _: &Arc<Route>) {}
 
     async fn admit(&self, _: u64) -> Admission {
         Admission::Granted
--- a/crates/dappleway/src/baselines.rs
+++ b/crates/dappleway/src/baselines.rs
@@ -55,10 +55,10 @@
     type Slot = RoundRobinSlot;
 
     /// It judges each endpoint by its own answers alone.
-    fn unserved(&self, _route: &Arc<resources::Route>, _service: &Name) {}
+    fn record_unserved(&self, _route: &Arc<resources::Route>, _service: &Name) {}
 
     /// It judges each endpoint by its own answers alone.
-    fn refused(&self, _route: &Arc<resources::Route>) {}
+    fn record_refused(&self, _route: &Arc<resources::Route>) {}
 
     /// It knows no allowances.
     async fn admit(&self, _organisation: u64) -> Admission {
@@ -134,11 +134,11 @@
         "baseline"
     }
 
-    fn stalled(&mut self, _elapsed: Duration) {}
+    fn report_stall(&mut self, _elapsed: Duration) {}
 
-    fn answer_began(&mut self, _elapsed: Duration) {}
+    fn report_answer_start(&mut self, _elapsed: Duration) {}
 
-    fn noticed(&mut self, _notice: Notice) {}
+    fn report_notice(&mut self, _notice: Notice) {}
 
     fn end(self, kind: Kind, elapsed: Duration) {
         if !self.dispatch.ejects || kind == Kind::Shed {
--- a/crates/dappleway/src/handle.rs
+++ b/crates/dappleway/src/handle.rs
@@ -35,11 +35,11 @@
 impl Dispatch for Handle {
     type Slot = HandleSlot;
 
-    fn unserved(&self, route: &Arc<Route>, service: &Name) {
+    fn record_unserved(&self, route: &Arc<Route>, service: &Name) {
         self.send(Command::Unserved(route.clone(), service.clone()));
     }
 
-    fn refused(&self, route: &Arc<Route>) {
+    fn record_refused(&self, route: &Arc<Route>) {
         self.send(Command::RefusedOnRoute(route.clone()));
     }
 
@@ -103,15 +103,15 @@
         }
     }
 
-    fn stalled(&mut self, elapsed: Duration) {
+    fn report_stall(&mut self, elapsed: Duration) {
         self.handle.send(Command::Stalled(self.id, elapsed));
     }
 
-    fn answer_began(&mut self, elapsed: Duration) {
+    fn report_answer_start(&mut self, elapsed: Duration) {
         self.handle.send(Command::AnswerBegan(self.id, elapsed));
     }
 
-    fn noticed(&mut self, notice: Notice) {
+    fn report_notice(&mut self, notice: Notice) {
         self.handle.send(Command::Noticed(self.id, notice));
     }
 
