--- a/crates/caller/src/active_slot.rs
+++ b/crates/caller/src/active_slot.rs
@@ -31,6 +31,7 @@
 pub(crate) struct ActiveSlot<S: Slot> {
     slot: Option<S>,
     grant: Grant,
+    /// When the request was sent.
     started: Moment,
     /// When data last arrived from the endpoint; initially, when the request was sent.
     last_activity: Moment,
@@ -40,6 +41,7 @@
     is_stall_reported: bool,
     /// Whether the process was paused meanwhile. The outcome is then not reported.
     was_paused: bool,
+    /// Whether a hedge of this send was answered first.
     race: HedgeRace,
 }
 
--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -78,7 +78,7 @@
     let mut active_slot = match order {
         SendOrder::First(race) | SendOrder::Further(race) => ActiveSlot::with_race(slot, race),
     };
-    let (slot_by, since) = (active_slot.granted_by(), Instant::now());
+    let (slot_by, started) = (active_slot.granted_by(), Instant::now());
     let (tier, health) = (active_slot.grant().tier, active_slot.grant().doubt);
     let span = request.span.child();
     let req = request.upstream_request(&cx.names, &active_slot.grant().endpoint, &span, body);
@@ -89,7 +89,7 @@
     let addr = active_slot.addr();
     let endpoint = active_slot.grant().endpoint.clone();
     let send = cx.pool.send(addr, req, reuse);
-    let sent = match active_slot.run_until(send, request.give_up_at).await {
+    let result = match active_slot.run_until(send, request.give_up_at).await {
         None => {
             active_slot.end(Kind::TimedOut);
             SendResult::TimedOut
@@ -107,18 +107,18 @@
             handle_answer(cx, request, active_slot, res, is_first).await
         }
     };
-    cx.metrics.sends.with_label_values(&[sent.name()]).inc();
+    cx.metrics.sends.with_label_values(&[result.name()]).inc();
     let record = trace::SendRecord {
         span: &span,
         endpoint: &endpoint,
         slot_by,
         tier,
         health,
-        outcome: sent.name(),
-        elapsed: since.elapsed(),
+        outcome: result.name(),
+        elapsed: started.elapsed(),
     };
     trace::send(&cx.log, &cx.names, request, &record);
-    sent
+    result
 }
 
 /// Classifies a complete answer by its status and the time left until the deadline.
--- a/crates/caller/src/dispatch.rs
+++ b/crates/caller/src/dispatch.rs
@@ -121,6 +121,6 @@
     /// Waits for a slot. Dropping the future cancels the request for it.
     fn acquire(
         &self,
-        want: SlotRequest,
+        request: SlotRequest,
     ) -> impl Future<Output = Result<Self::Slot, Refused>> + Send;
 }
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -18,7 +18,7 @@
 use crate::trace;
 use crate::{Admission, Dispatch};
 
-/// Serves one request.
+/// Serves one request and keeps it counted as in flight until the end of its answer.
 pub(crate) async fn serve<D: Dispatch>(
     cx: Arc<Cx<D>>,
     req: Request<Incoming>,
--- a/crates/caller/src/identity.rs
+++ b/crates/caller/src/identity.rs
@@ -113,12 +113,12 @@
         self.organisation.as_ref().map_or("", |it| &it.name)
     }
 
-    /// Relative share under overload.
+    /// Weight of the organisation when capacity is shared under overload.
     pub(crate) fn weight(&self) -> u32 {
         self.organisation.as_ref().map_or(1, |it| it.weight)
     }
 
-    /// Regions whose endpoints may serve it; empty for all.
+    /// Regions whose endpoints may serve the organisation's requests; empty for all.
     pub(crate) fn regions(&self) -> &[Name] {
         self.organisation.as_ref().map_or(&[], |it| &it.regions)
     }
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -58,8 +58,11 @@
 /// Result of one read from the endpoint.
 enum Step {
     Frame(Frame<Bytes>),
+    /// The answer is complete.
     End,
+    /// The connection broke, or the endpoint stayed silent for too long.
     Broken,
+    /// The endpoint is silent, but the download can be resumed elsewhere.
     Stalled,
 }
 
@@ -90,6 +93,7 @@
         }
     }
 
+    /// Forwards the answer, resuming it on other endpoints where possible.
     async fn forward(mut self, start: Bytes) {
         if !start.is_empty() {
             let item = RelayItem::Frame(Frame::data(start));
@@ -248,7 +252,7 @@
         })
     }
 
-    /// Adds the headers that request the bytes after the first `have` ones.
+    /// Adds the headers that request the bytes after the first `received` ones.
     fn set_range_headers(&self, headers: &mut http::HeaderMap, received: u64) {
         let range = format!("bytes={received}-");
         headers.insert(header::RANGE, HeaderValue::from_str(&range).expect("digits"));
--- a/crates/caller/src/routed_request.rs
+++ b/crates/caller/src/routed_request.rs
@@ -216,7 +216,7 @@
     out
 }
 
-/// The path and query of a URI.
+/// The path and query of a URI, as an origin server expects it in the request line.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |it| it.as_str());
     path.parse().expect("the path of a valid URI is a valid URI")
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -127,6 +127,7 @@
         }
     }
 
+    /// What to do after a send that ended with `outcome`.
     fn next(&self, request: &RoutedRequest, outcome: Outcome) -> Next {
         let attempt = Attempt {
             repeat: request.route.repeat,
@@ -218,21 +219,21 @@
     let Some(hedge_body) = hedge_body else { return progress.count_send(first.await) };
     let divisor = if grant.trial { TRIAL_HEDGE_DIVISOR } else { 1 };
     let hedge_delay = grant.hedge_after / divisor;
-    if let Ok(sent) = timeout(hedge_delay, &mut first).await {
-        return progress.count_send(sent);
+    if let Ok(result) = timeout(hedge_delay, &mut first).await {
+        return progress.count_send(result);
     }
     progress.reached += 1;
-    let is_sent = AtomicBool::new(false);
+    let hedge_sent = AtomicBool::new(false);
     let avoid = cx.unreachable.to_avoid(&progress.tried);
-    let mut second = pin!(send_hedge(cx, request, avoid, hedge_body, &is_sent));
-    let (sent, hedge) = tokio::select! {
+    let mut second = pin!(send_hedge(cx, request, avoid, hedge_body, &hedge_sent));
+    let (result, hedge) = tokio::select! {
         biased;
-        sent = &mut first => match sent {
-            SendResult::Answer(_) => (sent, None),
-            _ if is_sent.load(Ordering::Relaxed) => (sent, second.await),
+        result = &mut first => match result {
+            SendResult::Answer(_) => (result, None),
+            _ if hedge_sent.load(Ordering::Relaxed) => (result, second.await),
             // The hedge was not sent yet. The next regular send may wait for a slot; a hedge may
             // not.
-            _ => (sent, None),
+            _ => (result, None),
         },
         hedge = &mut second => match hedge {
             Some(SendResult::Answer(_)) => {
@@ -246,30 +247,30 @@
         progress.reached += 1;
     }
     match hedge {
-        Some(hedge @ SendResult::Answer(_)) if !matches!(sent, SendResult::Answer(_)) => hedge,
-        _ => sent,
+        Some(hedge @ SendResult::Answer(_)) if !matches!(result, SendResult::Answer(_)) => hedge,
+        _ => result,
     }
 }
 
 impl Progress {
     /// Counts a send as reached or unreached and returns it.
-    fn count_send(&mut self, sent: SendResult) -> SendResult {
-        match sent {
+    fn count_send(&mut self, result: SendResult) -> SendResult {
+        match result {
             SendResult::Unreached(_) => self.unreached += 1,
             _ => self.reached += 1,
         }
-        sent
+        result
     }
 }
 
 /// Sends the hedge. It needs a good endpoint with a free slot and polls for one until the deadline.
-/// Sets `is_sent` just before the send; returns `None` if the hedge was never sent.
+/// Sets `hedge_sent` just before the send; returns `None` if the hedge was never sent.
 async fn send_hedge<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     avoid: Vec<SocketAddr>,
     body: Full<Bytes>,
-    is_sent: &AtomicBool,
+    hedge_sent: &AtomicBool,
 ) -> Option<SendResult> {
     let slot = loop {
         let slot_request = SlotRequest {
@@ -287,7 +288,7 @@
     if !request.is_still_authorized(cx) {
         return None;
     }
-    is_sent.store(true, Ordering::Relaxed);
+    hedge_sent.store(true, Ordering::Relaxed);
     cx.metrics.hedges.inc();
     let order = SendOrder::Further(HedgeRace::default());
     Some(send_once(cx, request, slot, RequestBody::Complete(body), order).await)
--- a/crates/caller/tests/travelling.rs
+++ b/crates/caller/tests/travelling.rs
@@ -65,8 +65,8 @@
         Admission::Granted
     }
 
-    async fn acquire(&self, want: SlotRequest) -> Result<Self, Refused> {
-        match want.send {
+    async fn acquire(&self, request: SlotRequest) -> Result<Self, Refused> {
+        match request.send {
             policy::SendKind::First => Ok(self.clone()),
             _ if self.grants_further => Ok(self.clone()),
             _ => Err(Refused::no_capacity(Duration::ZERO)),
