--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -62,7 +62,7 @@
     End,
     /// The connection broke, or the endpoint stayed silent for too long.
     Broken,
-    /// The endpoint is silent, but the download can be resumed elsewhere.
+    /// No data arrived in time, because the endpoint stalled or this process was paused.
     Stalled,
 }
 
--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn hop_by_hop_headers_end_here_and_so_do_those_that_connection_names() {
+fn hop_by_hop_headers_and_those_named_by_connection_are_removed() {
     let mut map = headers(&[
         ("connection", "close, x-private"),
         ("x-private", "1"),
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_trace_is_continued_and_a_broken_one_starts_anew() {
+fn a_valid_trace_is_continued_and_an_invalid_one_is_replaced() {
     let text = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
     let span = Span::from_headers(&headers(&[("traceparent", text)]));
     assert_eq!((span.trace, span.parent), (0x0af7651916cd43dd8448eb211c80319c, 0xb7ad6b7169203331));
     let child = span.child();
     assert_eq!((child.trace, child.parent), (span.trace, span.id));
-    for broken in ["", "00-1-2-01", "00-00000000000000000000000000000000-b7ad6b7169203331-01"] {
-        let span = Span::from_headers(&headers(&[("traceparent", broken)]));
+    for invalid in ["", "00-1-2-01", "00-00000000000000000000000000000000-b7ad6b7169203331-01"] {
+        let span = Span::from_headers(&headers(&[("traceparent", invalid)]));
         assert_eq!(span.parent, 0);
         assert_ne!(span.trace, 0);
     }
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_is_given_up_says_whether_it_ran_and_when_to_come_back() {
+fn a_request_that_is_given_up_states_whether_it_ran_and_when_to_retry() {
     let retry_after = Duration::from_millis(1_200);
     check(GiveUp::overloaded(retry_after), expect!["503 not-run 1.200"]);
     check(GiveUp::not_run(retry_after), expect!["503 not-run 1.200"]);
@@ -153,13 +153,13 @@
 }
 
 #[test]
-fn requests_are_the_same_by_what_an_endpoint_makes_of_them() {
+fn requests_that_an_endpoint_treats_alike_have_the_same_key() {
     let usual = [("host", "h"), ("x-organisation", "o"), ("x-request-id", "1")];
     let it = key("POST", "/x?a=1", &usual, "body");
     let again = [("host", "h"), ("x-organisation", "o"), ("x-request-id", "2")];
-    assert_eq!(it, key("POST", "/x?a=1", &again, "body"), "it comes again");
+    assert_eq!(it, key("POST", "/x?a=1", &again, "body"), "the same request again");
     let elsewhere = [("host", "H:8080"), usual[1], usual[2]];
-    assert_eq!(it, key("POST", "/x?a=1", &elsewhere, "body"), "at another node");
+    assert_eq!(it, key("POST", "/x?a=1", &elsewhere, "body"), "the same request at another node");
     let others = [
         key("PUT", "/x?a=1", &usual, "body"),
         key("POST", "/x?a=2", &usual, "body"),
--- a/crates/caller/src/tests/identity.rs
+++ b/crates/caller/src/tests/identity.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn keys_are_needed_but_on_public_routes() {
+fn keys_are_required_except_on_public_routes() {
     let config = config(Access::Keys);
     let forged: (&'static str, &[u8]) = ("x-organisation", b"b");
     check(&config, "/c", &[("x-key", b"key-a"), forged], Ok("a"));
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn where_access_is_open_callers_say_who_they_are() {
+fn with_open_access_callers_are_identified_by_the_organisation_header() {
     let config = config(Access::Open);
     check(&config, "/c", &[("x-organisation", b"a")], Ok("a"));
     check(&config, "/c", &[], Ok(""));
 }
 
 #[test]
-fn what_an_organisation_says_goes_before_the_route() {
+fn settings_of_the_organisation_take_precedence_over_the_route() {
     let config = config(Access::Keys);
     let route = config.routes.find("", "/c", "GET").unwrap();
     let headers = headers(&[("x-key", b"key-a")]);
@@ -80,5 +80,5 @@
     assert_eq!((caller.weight(), caller.is_limited()), (3, true));
     assert_eq!(caller.priority(), Some(resources::Priority(0)));
     assert!(caller.is_still_valid(&config.callers));
-    assert!(!caller.is_still_valid(&Callers::default()), "its key was taken away");
+    assert!(!caller.is_still_valid(&Callers::default()), "the key was revoked");
 }
--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -78,7 +78,8 @@
             $level!(log, "send";
                 "request_id" => request.request_id(names), "endpoint" => it.endpoint,
                 "content" => %Hex64(request.key.0), "outcome" => it.outcome,
-                "slot_by" => it.slot_by, "choice" => it.tier.name(), "sick" => f64::from(it.health.sick_permille) / 1e3,
+                "slot_by" => it.slot_by, "choice" => it.tier.name(),
+                "sick" => f64::from(it.health.sick_permille) / 1e3,
                 "evidence_ms" => it.health.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
                 "left_ms" => request.left().as_millis() as u64, "span" => %Hex64(it.span.id),
                 "parent" => %Hex64(it.span.parent))
@@ -116,7 +117,8 @@
 /// Logs why a request is given up.
 pub(crate) fn give_up(log: &Logger, names: &HeaderNames, request: &RoutedRequest, give_up: GiveUp) {
     warn!(log, "request given up"; "request_id" => request.request_id(names),
-        "reason" => give_up.reason, "outcome" => give_up.outcome(), "left_ms" => request.left().as_millis() as u64);
+        "reason" => give_up.reason, "outcome" => give_up.outcome(),
+        "left_ms" => request.left().as_millis() as u64);
 }
 
 /// Formats an ID with 16 hexadecimal digits.
--- a/crates/caller/tests/suspended.rs
+++ b/crates/caller/tests/suspended.rs
@@ -1,6 +1,6 @@
 //! A request whose deadline passed while the VM was suspended is not sent.
 
-mod bed;
+mod common;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 
 /// Grants a slot after a simulated suspension of the VM that is longer than any deadline.
 #[derive(Clone)]
-struct Suspended(Grant);
+struct SuspendingDispatch(Grant);
 
-struct Granted(Grant);
+struct GrantedSlot(Grant);
 
-impl Slot for Granted {
+impl Slot for GrantedSlot {
     fn grant(&self) -> &Grant {
         &self.0
     }
@@ -34,8 +34,8 @@
     fn end(self, _: Kind, _: Duration) {}
 }
 
-impl Dispatch for Suspended {
-    type Slot = Granted;
+impl Dispatch for SuspendingDispatch {
+    type Slot = GrantedSlot;
 
     fn record_unserved(&self, _: &Arc<Route>, _: &Name) {}
 
@@ -45,18 +45,18 @@
         Admission::Granted
     }
 
-    async fn acquire(&self, _: SlotRequest) -> Result<Granted, Refused> {
+    async fn acquire(&self, _: SlotRequest) -> Result<GrantedSlot, Refused> {
         clock::suspend(Duration::from_secs(60));
-        Ok(Granted(self.0.clone()))
+        Ok(GrantedSlot(self.0.clone()))
     }
 }
 
 #[tokio::test]
-async fn what_waited_through_a_suspension_is_refused_and_not_sent() {
+async fn a_request_that_waited_through_a_suspension_is_refused_and_not_sent() {
     let endpoint = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let grant = bed::grant(endpoint.local_addr().unwrap());
+    let grant = common::grant(endpoint.local_addr().unwrap());
     let answer = tokio::select! {
-        it = bed::request(Suspended(grant)) => it,
+        it = common::request(SuspendingDispatch(grant)) => it,
         _ = endpoint.accept() => panic!("the request was sent after its deadline"),
     };
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
--- a/crates/caller/tests/travelling.rs
+++ b/crates/caller/tests/travelling.rs
@@ -1,6 +1,6 @@
 //! Reports to dispatch about a slot while its answer is in transit.
 
-mod bed;
+mod common;
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,12 +19,12 @@
     grant: Grant,
     /// Whether slots for further sends are granted too.
     grants_further: bool,
-    told: Arc<Mutex<Vec<String>>>,
+    reports: Arc<Mutex<Vec<String>>>,
 }
 
 impl Recorder {
-    fn tell(&self, what: impl Into<String>) {
-        self.told.lock().unwrap().push(what.into());
+    fn record(&self, report: impl Into<String>) {
+        self.reports.lock().unwrap().push(report.into());
     }
 }
 
@@ -38,19 +38,19 @@
     }
 
     fn report_stall(&mut self, _: Duration) {
-        self.tell("stalled");
+        self.record("stalled");
     }
 
     fn report_answer_start(&mut self, _: Duration) {
-        self.tell("began");
+        self.record("began");
     }
 
     fn report_notice(&mut self, notice: Notice) {
-        self.tell(format!("{notice:?}"));
+        self.record(format!("{notice:?}"));
     }
 
     fn end(self, kind: Kind, _: Duration) {
-        self.tell(format!("{kind:?}"));
+        self.record(format!("{kind:?}"));
     }
 }
 
@@ -86,14 +86,14 @@
 }
 
 async fn check_with(
-    granted: impl Fn(Grant) -> Grant,
+    adjust_grant: impl Fn(Grant) -> Grant,
     parts: &[&'static str],
     pause: Duration,
     expect: Expect,
 ) {
     let endpoint = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let grant = granted(bed::grant(endpoint.local_addr().unwrap()));
-    let recorder = Recorder { grant, grants_further: false, told: Arc::default() };
+    let grant = adjust_grant(common::grant(endpoint.local_addr().unwrap()));
+    let recorder = Recorder { grant, grants_further: false, reports: Arc::default() };
     let answering = async {
         let (mut stream, _) = endpoint.accept().await.unwrap();
         let _ = stream.read(&mut [0; 4096]).await.unwrap();
@@ -107,74 +107,75 @@
         std::future::pending::<()>().await
     };
     tokio::select! {
-        _ = bed::request(recorder.clone()) => {}
+        _ = common::request(recorder.clone()) => {}
         () = answering => {}
     }
     // All reports have been made once the caller's connection has ended.
-    let told = recorder.told.lock().unwrap().join(" ");
-    expect.assert_eq(&told);
+    let reports = recorder.reports.lock().unwrap().join(" ");
+    expect.assert_eq(&reports);
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\n";
-const LONG: Duration = Duration::from_millis(100);
+/// Pause between the parts of an answer, shorter than the stall timeout.
+const PAUSE: Duration = Duration::from_millis(100);
 
 #[tokio::test]
-async fn an_answer_that_is_whole_at_once_tells_its_end_alone() {
-    check(&["HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody"], LONG, expect!["Answered"]).await;
+async fn an_answer_that_is_complete_at_once_reports_only_its_end() {
+    check(&["HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody"], PAUSE, expect!["Answered"]).await;
 }
 
 #[tokio::test]
-async fn an_answer_that_travels_tells_its_beginning() {
-    check(&[HEAD, "bo", "dy"], LONG, expect!["began Answered"]).await;
+async fn an_answer_in_transit_reports_its_start() {
+    check(&[HEAD, "bo", "dy"], PAUSE, expect!["began Answered"]).await;
 }
 
 #[tokio::test]
-async fn an_answer_without_a_length_tells_its_beginning_and_ends_with_its_connection() {
-    check(&["HTTP/1.1 200 OK\r\n\r\n", "body"], LONG, expect!["began Answered"]).await;
+async fn an_answer_without_a_length_reports_its_start_and_ends_with_its_connection() {
+    check(&["HTTP/1.1 200 OK\r\n\r\n", "body"], PAUSE, expect!["began Answered"]).await;
 }
 
 #[tokio::test]
-async fn an_answer_that_stops_moving_is_stalled() {
-    let longer_than_a_stall = Duration::from_millis(1_300);
-    check(&[HEAD, "body"], longer_than_a_stall, expect!["began stalled Answered"]).await;
+async fn an_answer_without_progress_is_stalled() {
+    let longer_than_the_stall_timeout = Duration::from_millis(1_300);
+    check(&[HEAD, "body"], longer_than_the_stall_timeout, expect!["began stalled Answered"]).await;
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_is_a_failure() {
-    check(&[HEAD, "bo"], LONG, expect!["began Failed"]).await;
+async fn a_truncated_answer_is_a_failure() {
+    check(&[HEAD, "bo"], PAUSE, expect!["began Failed"]).await;
 }
 
 #[tokio::test]
-async fn a_failure_holds_its_slot_until_it_is_whole() {
+async fn an_error_answer_holds_its_slot_until_it_is_complete() {
     let head = "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 4\r\n\r\n";
-    check(&[head, "body"], LONG, expect!["Failed"]).await;
+    check(&[head, "body"], PAUSE, expect!["Failed"]).await;
 }
 
 #[tokio::test]
-async fn a_rate_limit_is_told_whatever_the_answer_is() {
-    let told = expect!["RateLimit(Some(RateLimit(2.5))) Answered"];
-    check(&["HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-limit: 2.5\r\n\r\n"], LONG, told).await;
+async fn a_rate_limit_is_reported_whatever_the_answer_is() {
+    let reports = expect!["RateLimit(Some(RateLimit(2.5))) Answered"];
+    check(&["HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-limit: 2.5\r\n\r\n"], PAUSE, reports).await;
     let shed = "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\nx-limit: 1\r\n\r\n";
-    check(&[shed], LONG, expect!["RateLimit(Some(RateLimit(1.0))) Shed"]).await;
-    let of_another = "HTTP/1.1 421 No\r\ncontent-length: 0\r\nx-limit: 1\r\n\r\n";
-    check(&[of_another], LONG, expect!["Failed"]).await;
-    let unreadable = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-limit: few\r\n\r\n";
-    check(&[unreadable], LONG, expect!["Answered"]).await;
+    check(&[shed], PAUSE, expect!["RateLimit(Some(RateLimit(1.0))) Shed"]).await;
+    let from_another_endpoint = "HTTP/1.1 421 No\r\ncontent-length: 0\r\nx-limit: 1\r\n\r\n";
+    check(&[from_another_endpoint], PAUSE, expect!["Failed"]).await;
+    let invalid = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-limit: few\r\n\r\n";
+    check(&[invalid], PAUSE, expect!["Answered"]).await;
 }
 
 #[tokio::test]
-async fn a_failure_without_a_rate_limit_lifts_none() {
+async fn an_error_answer_without_a_rate_limit_lifts_none() {
     let failed = "HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n";
-    check_limited(&[failed], LONG, expect!["Failed"]).await;
+    check_limited(&[failed], PAUSE, expect!["Failed"]).await;
     let good = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-    check_limited(&[good], LONG, expect!["RateLimit(None) Answered"]).await;
+    check_limited(&[good], PAUSE, expect!["RateLimit(None) Answered"]).await;
 }
 
 #[tokio::test]
-async fn the_rest_of_a_download_tells_a_rate_limit_too() {
+async fn a_resumed_download_reports_a_rate_limit_too() {
     let endpoint = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let grant = bed::grant(endpoint.local_addr().unwrap());
-    let recorder = Recorder { grant, grants_further: true, told: Arc::default() };
+    let grant = common::grant(endpoint.local_addr().unwrap());
+    let recorder = Recorder { grant, grants_further: true, reports: Arc::default() };
     let total = 2_000_000;
     let answers = [
         format!("200 OK\r\ncontent-length: {total}\r\naccept-ranges: bytes\r\netag: \"a\""),
@@ -201,23 +202,23 @@
         std::future::pending::<()>().await
     };
     tokio::select! {
-        _ = bed::request(recorder.clone()) => {}
+        _ = common::request(recorder.clone()) => {}
         () = answering => {}
     }
-    let told = recorder.told.lock().unwrap().join(" ");
-    expect!["began Failed RateLimit(Some(RateLimit(3.0))) began Answered"].assert_eq(&told);
+    let reports = recorder.reports.lock().unwrap().join(" ");
+    expect!["began Failed RateLimit(Some(RateLimit(3.0))) began Answered"].assert_eq(&reports);
 }
 
 #[tokio::test]
-async fn an_endpoint_that_leaves_or_asks_for_rest_is_heard() {
+async fn an_endpoint_that_leaves_or_asks_for_a_back_off_is_reported() {
     let leaving = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-leaving: 1\r\n\r\n";
-    check(&[leaving], LONG, expect!["Leaving Answered"]).await;
+    check(&[leaving], PAUSE, expect!["Leaving Answered"]).await;
     let staying = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\nx-leaving: 0\r\n\r\n";
-    check(&[staying], LONG, expect!["Answered"]).await;
-    let resting =
+    check(&[staying], PAUSE, expect!["Answered"]).await;
+    let asks_for_back_off =
         "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\nretry-after: 2.5\r\n\r\n";
-    check(&[resting], LONG, expect!["Rest(2.5s) Shed"]).await;
-    let some_day =
+    check(&[asks_for_back_off], PAUSE, expect!["Rest(2.5s) Shed"]).await;
+    let invalid_back_off =
         "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\nretry-after: x\r\n\r\n";
-    check(&[some_day], LONG, expect!["Shed"]).await;
+    check(&[invalid_back_off], PAUSE, expect!["Shed"]).await;
 }
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn a_send_that_wants_a_new_connection_gets_one() {
+async fn a_send_without_reuse_opens_a_new_connection() {
     const COMPLETE: Script = Script::Answer("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
     // The server answers only one request per connection.
     let addr = serve(&[COMPLETE, COMPLETE]).await;
