--- a/crates/caller/src/body_memory.rs
+++ b/crates/caller/src/body_memory.rs
@@ -23,12 +23,13 @@
 }
 
 impl BodyMemory {
-    /// A budget of `bytes`, rounded down to whole pieces; `used` shows the reserved part.
+    /// A budget of `bytes`, rounded down to a multiple of the granularity. `used` shows the reserved
+    /// part.
     pub(crate) fn new(bytes: usize, used: IntGauge) -> Self {
         Self { free: Arc::new(Semaphore::new(bytes / CHUNK_BYTES)), used }
     }
 
-    /// Grows `taken` to at least `bytes`. Returns false if the budget is too small.
+    /// Grows `reservation` to at least `bytes`. Returns false if not enough of the budget is free.
     pub(crate) fn grow(&self, reservation: &mut Reservation, bytes: usize) -> bool {
         let held = reservation.chunks.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
         let missing = bytes.div_ceil(CHUNK_BYTES).saturating_sub(held);
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -40,10 +40,10 @@
             give_up_unrouted(cx, id.as_ref(), GiveUp::too_many_in_flight())
         }
         Ok(request) => match admit(cx, &request).await {
-            Ok(()) => run(cx, request, req.into_body(), started).await,
+            Ok(()) => read_and_send(cx, request, req.into_body(), started).await,
             Err(give_up) => {
                 cx.dispatch.record_refused(&request.route);
-                given_up(cx, &request, give_up, started)
+                answer_given_up(cx, &request, give_up, started)
             }
         },
         Err(RouteError::NoConfiguration) => {
@@ -58,11 +58,23 @@
         Err(RouteError::Suspended) => give_up_unrouted(cx, id.as_ref(), GiveUp::suspended()),
         Err(RouteError::Denied(denied)) => {
             cx.metrics.denied.with_label_values(&[denied.name()]).inc();
-            trace::refused(&cx.log, id.as_ref(), version(cx), denied.status(), denied.name());
+            trace::refused(
+                &cx.log,
+                id.as_ref(),
+                config_version(cx),
+                denied.status(),
+                denied.name(),
+            );
             refuse(denied.status(), denied.text())
         }
         Err(RouteError::NoRoute) => {
-            trace::refused(&cx.log, id.as_ref(), version(cx), StatusCode::NOT_FOUND, "no route");
+            trace::refused(
+                &cx.log,
+                id.as_ref(),
+                config_version(cx),
+                StatusCode::NOT_FOUND,
+                "no route",
+            );
             refuse(StatusCode::NOT_FOUND, "no route: check host, path and method\n")
         }
     };
@@ -73,7 +85,7 @@
 }
 
 /// The version of the configuration in force, to log with requests that are not routed.
-fn version<D>(cx: &Cx<D>) -> u64 {
+fn config_version<D>(cx: &Cx<D>) -> u64 {
     cx.shared.load().config.version
 }
 
@@ -85,7 +97,7 @@
 ) -> Response<ResponseBody> {
     cx.metrics.requests.with_label_values(&[give_up.outcome()]).inc();
     cx.metrics.given_up.with_label_values(&[give_up.cause]).inc();
-    trace::refused(&cx.log, id, version(cx), give_up.status(), give_up.reason);
+    trace::refused(&cx.log, id, config_version(cx), give_up.status(), give_up.reason);
     give_up.response()
 }
 
@@ -104,7 +116,7 @@
 }
 
 /// Reads the body and sends the request.
-async fn run<D: Dispatch>(
+async fn read_and_send<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     mut request: RoutedRequest,
     body: Incoming,
@@ -117,7 +129,7 @@
         Ok(Ok(mut body)) => {
             request.key =
                 request_key(&cx.names, &request.method, &request.uri, &request.headers, &body);
-            return finish(cx, &Arc::new(request), &mut body, started).await;
+            return send_and_record(cx, &Arc::new(request), &mut body, started).await;
         }
         Ok(Err(BodyError::TooLong(_))) => {
             (StatusCode::PAYLOAD_TOO_LARGE, "the request is too long\n")
@@ -131,7 +143,7 @@
 }
 
 /// Sends a request whose body was read, and records how it ended.
-async fn finish<D: Dispatch>(
+async fn send_and_record<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &Arc<RoutedRequest>,
     body: &mut ReceivedBody,
@@ -139,10 +151,10 @@
 ) -> Response<ResponseBody> {
     let res = match send_until_done(cx, request, body).await {
         Ok(res) => {
-            ended(cx, request, "answered", &res, started);
+            record_end(cx, request, "answered", &res, started);
             res
         }
-        Err(it) => given_up(cx, request, it, started),
+        Err(it) => answer_given_up(cx, request, it, started),
     };
     // The availability target of each service of a split route includes all requests of the route,
     // also those that went to another of its services.
@@ -153,7 +165,7 @@
 }
 
 /// Logs and counts a routed request that is given up, and returns its answer.
-fn given_up<D: Dispatch>(
+fn answer_given_up<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &RoutedRequest,
     give_up: GiveUp,
@@ -162,12 +174,12 @@
     trace::give_up(&cx.log, &cx.names, request, give_up);
     cx.metrics.given_up.with_label_values(&[give_up.cause]).inc();
     let res = give_up.response();
-    ended(cx, request, give_up.outcome(), &res, started);
+    record_end(cx, request, give_up.outcome(), &res, started);
     res
 }
 
 /// Logs and counts a routed request that has ended.
-fn ended<D: Dispatch>(
+fn record_end<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     request: &RoutedRequest,
     outcome: &'static str,
--- a/crates/caller/src/headers.rs
+++ b/crates/caller/src/headers.rs
@@ -77,7 +77,7 @@
 /// A header of an upstream whose value is not a valid number.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("ignored `{name}: {value:?}`: expected a number of 0 or more")]
-pub(crate) struct BadNumber {
+pub(crate) struct InvalidNumber {
     name: HeaderName,
     value: HeaderValue,
 }
@@ -87,18 +87,18 @@
     headers: &HeaderMap,
     name: &HeaderName,
     convert: impl Fn(f64) -> Option<T>,
-) -> Result<Option<T>, BadNumber> {
+) -> Result<Option<T>, InvalidNumber> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let number = value.to_str().ok().and_then(|it| it.trim().parse().ok());
     let converted = number.and_then(convert);
-    converted.map(Some).ok_or_else(|| BadNumber { name: name.clone(), value: value.clone() })
+    converted.map(Some).ok_or_else(|| InvalidNumber { name: name.clone(), value: value.clone() })
 }
 
 /// The rate limit that an upstream asks for.
 pub(crate) fn rate_limit_of(
     names: &HeaderNames,
     headers: &HeaderMap,
-) -> Result<Option<RateLimit>, BadNumber> {
+) -> Result<Option<RateLimit>, InvalidNumber> {
     parse_number(headers, &names.rate_limit, RateLimit::from_per_second)
 }
 
@@ -108,7 +108,7 @@
 }
 
 /// The back-off that an upstream asks for when it refuses a request.
-pub(crate) fn backoff_of(headers: &HeaderMap) -> Result<Option<Duration>, BadNumber> {
+pub(crate) fn backoff_of(headers: &HeaderMap) -> Result<Option<Duration>, InvalidNumber> {
     parse_number(headers, &header::RETRY_AFTER, |it| Duration::try_from_secs_f64(it).ok())
 }
 
--- a/crates/caller/src/metrics.rs
+++ b/crates/caller/src/metrics.rs
@@ -36,16 +36,17 @@
     /// Creates the metrics and registers them.
     pub fn register(registry: &Registry) -> prometheus::Result<Self> {
         let counter = |name: &str, help: &str| IntCounter::new(name, help);
-        let by = |name: &str, help: &str| IntCounterVec::new(Opts::new(name, help), &["outcome"]);
-        let wait = HistogramOpts::new("dappleway_slot_wait_seconds", "Time to get a slot.")
+        let by_outcome =
+            |name: &str, help: &str| IntCounterVec::new(Opts::new(name, help), &["outcome"]);
+        let slot_wait = HistogramOpts::new("dappleway_slot_wait_seconds", "Time to get a slot.")
             .buckets(prometheus::exponential_buckets(0.00005, 2.0, 16)?);
         let latency = HistogramOpts::new(
             "dappleway_request_seconds",
             "Time from a request's head to the head of its answer by outcome.",
         )
         .buckets(prometheus::exponential_buckets(0.001, 2.0, 14)?);
-        let it = Self {
-            requests: by("dappleway_requests_total", "Requests by outcome.")?,
+        let metrics = Self {
+            requests: by_outcome("dappleway_requests_total", "Requests by outcome.")?,
             given_up: IntCounterVec::new(
                 Opts::new(
                     "dappleway_given_up_total",
@@ -60,7 +61,7 @@
                 ),
                 &["why"],
             )?,
-            sends: by("dappleway_sends_total", "Sends to endpoints by outcome.")?,
+            sends: by_outcome("dappleway_sends_total", "Sends to endpoints by outcome.")?,
             first_shed: counter(
                 "dappleway_first_sends_shed_total",
                 "First sends that an endpoint refused before running them.",
@@ -73,19 +74,19 @@
                 "Memory used by long request bodies that are kept for a repeat.",
             )?,
             latency: HistogramVec::new(latency, &["outcome"])?,
-            slot_wait: Histogram::with_opts(wait)?,
+            slot_wait: Histogram::with_opts(slot_wait)?,
         };
-        registry.register(Box::new(it.requests.clone()))?;
-        registry.register(Box::new(it.given_up.clone()))?;
-        registry.register(Box::new(it.denied.clone()))?;
-        registry.register(Box::new(it.sends.clone()))?;
-        registry.register(Box::new(it.first_shed.clone()))?;
-        registry.register(Box::new(it.hedges.clone()))?;
-        registry.register(Box::new(it.resumes.clone()))?;
-        registry.register(Box::new(it.in_flight.clone()))?;
-        registry.register(Box::new(it.held_body_bytes.clone()))?;
-        registry.register(Box::new(it.latency.clone()))?;
-        registry.register(Box::new(it.slot_wait.clone()))?;
-        Ok(it)
+        registry.register(Box::new(metrics.requests.clone()))?;
+        registry.register(Box::new(metrics.given_up.clone()))?;
+        registry.register(Box::new(metrics.denied.clone()))?;
+        registry.register(Box::new(metrics.sends.clone()))?;
+        registry.register(Box::new(metrics.first_shed.clone()))?;
+        registry.register(Box::new(metrics.hedges.clone()))?;
+        registry.register(Box::new(metrics.resumes.clone()))?;
+        registry.register(Box::new(metrics.in_flight.clone()))?;
+        registry.register(Box::new(metrics.held_body_bytes.clone()))?;
+        registry.register(Box::new(metrics.latency.clone()))?;
+        registry.register(Box::new(metrics.slot_wait.clone()))?;
+        Ok(metrics)
     }
 }
--- a/crates/caller/src/notice.rs
+++ b/crates/caller/src/notice.rs
@@ -7,7 +7,8 @@
 use crate::cx::Cx;
 use crate::{Dispatch, headers, trace};
 
-/// Reports the notices in an answer. An answer 421 is ignored: a different endpoint sent it.
+/// Reports the notices in an answer. Notices in a 421 answer are ignored, because a different
+/// endpoint sent them.
 pub(crate) fn report_notices<D: Dispatch, B>(
     cx: &Cx<D>,
     active_slot: &mut ActiveSlot<D::Slot>,
--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -10,7 +10,7 @@
 
 use crate::answer::GiveUp;
 use crate::cx::Cx;
-use crate::headers::{BadNumber, HeaderNames, Span};
+use crate::headers::{HeaderNames, InvalidNumber, Span};
 use crate::routed_request::RoutedRequest;
 
 /// Logs a request that has ended, at warning level after a server error.
@@ -92,7 +92,7 @@
 }
 
 /// Logs an invalid header of an answer.
-pub(crate) fn invalid_header(log: &Logger, endpoint: &str, error: &BadNumber) {
+pub(crate) fn invalid_header(log: &Logger, endpoint: &str, error: &InvalidNumber) {
     warn!(log, "invalid header in an answer"; "endpoint" => endpoint, "error" => %error);
 }
 
--- a/crates/upstream/src/pool.rs
+++ b/crates/upstream/src/pool.rs
@@ -84,11 +84,13 @@
     inner: Arc<Inner<B>>,
 }
 
+/// The state shared by all clones of a pool.
 pub(crate) struct Inner<B> {
     idle: Mutex<FxHashMap<SocketAddr, Vec<Idle<B>>>>,
     connect_timeout: Duration,
 }
 
+/// An idle connection and the time until which it may be used.
 struct Idle<B> {
     tx: SendRequest<B>,
     expires: Moment,
@@ -170,7 +172,7 @@
         res: Response<Incoming>,
         reuse: Reuse,
     ) -> Response<AnswerBody<B>> {
-        let max_idle = idle_time(res.headers());
+        let max_idle = max_idle_time(res.headers());
         // A connection that will not be used again is closed after its answer, because endpoints
         // accept few connections.
         let reusable = (reuse == Reuse::Allowed)
@@ -243,7 +245,7 @@
 }
 
 /// How long a connection may stay idle. Respects `Keep-Alive: timeout=…` in the answer.
-fn idle_time(headers: &HeaderMap) -> Duration {
+fn max_idle_time(headers: &HeaderMap) -> Duration {
     let announced = headers.get("keep-alive").and_then(|it| it.to_str().ok());
     let seconds = announced.and_then(|it| {
         let parts = it.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
--- a/crates/upstream/src/tests.rs
+++ b/crates/upstream/src/tests.rs
@@ -82,7 +82,7 @@
         assert!(stream.read(&mut buf).await.unwrap() > 0);
         stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nabc").await.unwrap();
         if ending == Ending::Reset {
-            // A reset discards data that the client has not read yet.
+            // Gives the client time to read, because a reset discards unread data.
             tokio::time::sleep(Duration::from_millis(50)).await;
             stream.set_zero_linger().unwrap();
         }
