--- /dev/null
+++ b/crates/caller/src/active_slot.rs
@@ -0,0 +1,239 @@
+//! A slot in use: tracks a request from the send to the end of the answer and reports its progress
+//! to dispatch.
+
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+
+use bytes::Bytes;
+use clock::{Moment, sleep_until, timeout_at};
+use http_body::Body;
+use policy::{Grant, Kind, Notice};
+
+use crate::Slot;
+use crate::body::{AnswerReader, AnswerStart};
+
+/// A timer that fires later than this indicates that the process was paused. The delay is then not
+/// attributed to the endpoint.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(100);
+
+/// If an answer is still incomplete this long after its head, the start of the answer is reported
+/// separately, which frees the endpoint's slot early. Most answers are complete before that, and
+/// the report of their end frees the slot without an extra message.
+const REPORT_START_AFTER: Duration = Duration::from_millis(5);
+/// A body is stalled if no data arrives for this long while it is being read.
+pub(crate) const STALL_AFTER: Duration = Duration::from_secs(1);
+
+/// A slot in use. Dropping it reports how long the endpoint has been silent, so that a request that
+/// is abandoned after a long silence still counts against the endpoint.
+pub(crate) struct ActiveSlot<S: Slot> {
+    slot: Option<S>,
+    grant: Grant,
+    /// When the request was sent.
+    started: Moment,
+    /// When data last arrived from the endpoint; initially, when the request was sent.
+    last_activity: Moment,
+    /// Time from the send to the head of the answer.
+    head_after: Option<Duration>,
+    is_start_reported: bool,
+    is_stall_reported: bool,
+    /// Whether the process was paused meanwhile. The outcome is then not reported.
+    was_paused: bool,
+    /// Whether a hedge of this send was answered first.
+    race: HedgeRace,
+}
+
+/// A report about an answer that is still incomplete.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ProgressReport {
+    Started,
+    Stalled,
+}
+
+/// Shared by a send and its hedge: set when the hedge was answered first.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct HedgeRace(Arc<AtomicBool>);
+
+impl HedgeRace {
+    /// Records that the hedge was answered first. The original send is dropped next.
+    pub(crate) fn mark_lost(&self) {
+        self.0.store(true, Ordering::Relaxed);
+    }
+
+    /// The outcome to report when the original send is dropped.
+    fn kind_on_drop(&self) -> Kind {
+        if self.0.load(Ordering::Relaxed) { Kind::Beaten } else { Kind::Abandoned }
+    }
+}
+
+impl<S: Slot> ActiveSlot<S> {
+    /// Starts the use of a slot for a send without a hedge.
+    pub(crate) fn new(slot: S) -> Self {
+        Self::with_race(slot, HedgeRace::default())
+    }
+
+    /// Starts the use of a slot for a send that may be hedged.
+    pub(crate) fn with_race(slot: S, race: HedgeRace) -> Self {
+        let grant = slot.grant().clone();
+        let started = Moment::now();
+        Self {
+            slot: Some(slot),
+            grant,
+            started,
+            last_activity: started,
+            head_after: None,
+            is_start_reported: false,
+            is_stall_reported: false,
+            was_paused: false,
+            race,
+        }
+    }
+
+    pub(crate) fn grant(&self) -> &Grant {
+        &self.grant
+    }
+
+    pub(crate) fn granted_by(&self) -> &'static str {
+        self.slot.as_ref().map_or("", Slot::granted_by)
+    }
+
+    pub(crate) fn addr(&self) -> SocketAddr {
+        self.grant().addr
+    }
+
+    /// Records the arrival of the answer's head, which determines the latency of the request.
+    pub(crate) fn record_head(&mut self) {
+        self.head_after = Some(self.started.elapsed());
+        self.record_activity();
+    }
+
+    /// Reports that the answer has begun and is not complete yet.
+    pub(crate) fn report_start(&mut self) {
+        let Some(elapsed) = self.head_after.filter(|_| !self.is_start_reported) else { return };
+        self.is_start_reported = true;
+        if let Some(slot) = &mut self.slot {
+            slot.report_answer_start(elapsed);
+        }
+    }
+
+    /// Reports a notice from the endpoint. The absence of a rate limit is reported only if a limit
+    /// was known before.
+    pub(crate) fn report_notice(&mut self, notice: Notice) {
+        let is_change = self.grant.is_rate_limited || notice != Notice::RateLimit(None);
+        if let Some(slot) = self.slot.as_mut().filter(|_| is_change) {
+            slot.report_notice(notice);
+        }
+    }
+
+    /// Restarts the stall timer: data arrived from the endpoint, or a read starts only now.
+    pub(crate) fn record_activity(&mut self) {
+        self.last_activity = Moment::now();
+    }
+
+    /// Reports that the endpoint has stopped sending.
+    pub(crate) fn report_stall(&mut self) {
+        self.is_stall_reported = true;
+        let elapsed = self.last_activity.elapsed();
+        if let Some(slot) = &mut self.slot {
+            slot.report_stall(elapsed);
+        }
+    }
+
+    /// Releases the slot and reports the outcome.
+    pub(crate) fn end(mut self, kind: Kind) {
+        self.release(kind);
+    }
+
+    /// Releases the slot and reports the outcome, but keeps the grant available.
+    pub(crate) fn release(&mut self, kind: Kind) {
+        let elapsed = match kind {
+            Kind::Answered => self.head_after.unwrap_or_else(|| self.started.elapsed()),
+            it if it.is_silence() => self.last_activity.elapsed(),
+            _ => self.started.elapsed(),
+        };
+        if let Some(slot) = self.slot.take()
+            && !self.was_paused
+        {
+            slot.end(kind, elapsed);
+        }
+    }
+
+    /// Reads the body of an answer until it is complete or too long to buffer; returns `None` at
+    /// the deadline. Meanwhile reports that the answer has begun and whether it has stalled.
+    pub(crate) async fn receive<B>(
+        &mut self,
+        body: B,
+        deadline: Moment,
+    ) -> Option<Result<AnswerStart<B>, B::Error>>
+    where
+        B: Body<Data = Bytes> + Unpin,
+    {
+        let mut reader = AnswerReader::new(body);
+        loop {
+            let next_report = self.next_report();
+            let until = next_report.map_or(deadline, |(at, _)| at.min(deadline));
+            match timeout_at(until, reader.read_frame()).await {
+                Some(Ok(Some(start))) => return Some(Ok(start)),
+                Some(Ok(None)) => self.record_activity(),
+                Some(Err(error)) => return Some(Err(error)),
+                None if deadline.left().is_zero() => return None,
+                None => match next_report {
+                    Some((_, ProgressReport::Started)) => self.report_start(),
+                    Some((at, ProgressReport::Stalled)) if at.elapsed() < PAUSE_THRESHOLD => {
+                        self.report_stall()
+                    }
+                    Some((_, ProgressReport::Stalled)) => self.was_paused = true,
+                    None => {}
+                },
+            }
+        }
+    }
+
+    /// The next report that is due for an answer that is being read, and when.
+    fn next_report(&self) -> Option<(Moment, ProgressReport)> {
+        match self.head_after {
+            Some(after) if !self.is_start_reported => {
+                Some((self.started + after + REPORT_START_AFTER, ProgressReport::Started))
+            }
+            _ if self.is_stall_reported || self.was_paused => None,
+            _ => Some((self.last_activity + STALL_AFTER, ProgressReport::Stalled)),
+        }
+    }
+
+    /// Runs `fut` until the deadline and reports a stall meanwhile. Returns `None` at the deadline.
+    pub(crate) async fn run_until<F: Future>(
+        &mut self,
+        fut: F,
+        deadline: Moment,
+    ) -> Option<F::Output> {
+        let mut fut = pin!(fut);
+        let stall_at = (self.started + self.grant.stall_after).min(deadline);
+        tokio::select! {
+            biased;
+            out = &mut fut => return Some(out),
+            () = sleep_until(stall_at) => {}
+        }
+        if stall_at.elapsed() < PAUSE_THRESHOLD {
+            self.report_stall();
+        } else if stall_at > self.started {
+            self.was_paused = true;
+        }
+        tokio::select! {
+            biased;
+            out = &mut fut => Some(out),
+            () = sleep_until(deadline) => None,
+        }
+    }
+}
+
+impl<S: Slot> Drop for ActiveSlot<S> {
+    fn drop(&mut self) {
+        if let Some(slot) = self.slot.take()
+            && !self.was_paused
+        {
+            slot.end(self.race.kind_on_drop(), self.last_activity.elapsed());
+        }
+    }
+}
--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send on one slot, and what its answer means.
+//! A single send on one slot, and the classification of its answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,34 +12,38 @@
 use tokio::time::Instant;
 use upstream::{AnswerBody, Failure, Reuse};
 
-use crate::body::{AnswerOut, RequestOut, Start};
+use crate::active_slot::{ActiveSlot, HedgeRace};
+use crate::body::{AnswerStart, RequestBody, ResponseBody};
 use crate::cx::Cx;
 use crate::headers;
-use crate::open::{Open, Race};
 use crate::relay::Relay;
-use crate::work::Work;
+use crate::routed_request::RoutedRequest;
 use crate::{Dispatch, notice, trace};
 
-/// Endpoints say that the deadline has passed a little before it has: what is left is handed to them in
-/// whole milliseconds, and their clocks do not run quite like this one.
-const DEADLINE_SLACK: Duration = Duration::from_millis(10);
+/// Tolerance for endpoints that answer 504 shortly before the deadline. The remaining time is sent
+/// to them in whole milliseconds, and their clocks differ slightly from the local one.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(10);
 
 /// How one send ended.
-pub(crate) enum Sent {
-    Answer(Response<AnswerOut>),
-    /// An answer of the upstream that says it failed, on a request that may be sent again.
-    Failure(Response<AnswerOut>),
-    /// Nothing was written; the body comes back.
-    Unreached(Option<RequestOut>),
-    /// The endpoint says that it has not run the request.
+pub(crate) enum SendResult {
+    /// An answer for the caller.
+    Answer(Response<ResponseBody>),
+    /// A server error from the endpoint, to a request that may be sent again.
+    Failure(Response<ResponseBody>),
+    /// Nothing was written to the endpoint. Returns the body if it is still available.
+    Unreached(Option<RequestBody>),
+    /// The endpoint reports that it has not run the request.
     NotRun,
+    /// The request may have run.
     Unknown,
-    /// The same, and the endpoint's process has ended.
+    /// The request may have run, and the endpoint's process has ended.
     Crashed,
+    /// No answer within the deadline. The request may have run.
     TimedOut,
 }
 
-impl Sent {
+impl SendResult {
+    /// Label for metrics and logs.
     fn name(&self) -> &'static str {
         match self {
             Self::Answer(res) if res.status().is_server_error() => "failed",
@@ -54,146 +58,150 @@
     }
 }
 
-/// Which send of a request it is.
-pub(crate) enum Lane {
-    /// The first.
-    First(Race),
-    /// One after or beside another.
-    Further(Race),
+/// Whether a send is the first one of its request.
+pub(crate) enum SendOrder {
+    /// The first send.
+    First(HedgeRace),
+    /// A repeat or a hedge.
+    Further(HedgeRace),
 }
 
-/// One send on one slot.
-pub(crate) async fn attempt<D: Dispatch>(
+/// Sends the request once on `slot` and reports the outcome to dispatch, metrics and log.
+pub(crate) async fn send_once<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     slot: D::Slot,
-    body: RequestOut,
-    lane: Lane,
-) -> Sent {
-    let is_first = matches!(lane, Lane::First(_));
-    let mut open = match lane {
-        Lane::First(race) | Lane::Further(race) => Open::in_race(slot, race),
+    body: RequestBody,
+    order: SendOrder,
+) -> SendResult {
+    let is_first = matches!(order, SendOrder::First(_));
+    let mut active_slot = match order {
+        SendOrder::First(race) | SendOrder::Further(race) => ActiveSlot::with_race(slot, race),
     };
-    let (slot_by, since) = (open.granted_by(), Instant::now());
-    let (tier, doubt) = (open.grant().tier, open.grant().doubt);
-    let span = work.span.child();
-    let req = work.request(&cx.names, &open.grant().endpoint, &span, body);
-    let reuse = match work.route.repeat {
+    let (slot_by, started) = (active_slot.granted_by(), Instant::now());
+    let (tier, health) = (active_slot.grant().tier, active_slot.grant().doubt);
+    let span = request.span.child();
+    let req = request.upstream_request(&cx.names, &active_slot.grant().endpoint, &span, body);
+    let reuse = match request.route.repeat {
         Repeat::Anytime => Reuse::Allowed,
         Repeat::IfNotRun | Repeat::Never => Reuse::Never,
     };
-    let addr = open.addr();
-    let endpoint = open.grant().endpoint.clone();
+    let addr = active_slot.addr();
+    let endpoint = active_slot.grant().endpoint.clone();
     let send = cx.pool.send(addr, req, reuse);
-    let sent = match open.watch(send, work.give_up_at).await {
+    let result = match active_slot.run_until(send, request.give_up_at).await {
         None => {
-            open.end(Kind::TimedOut);
-            Sent::TimedOut
+            active_slot.end(Kind::TimedOut);
+            SendResult::TimedOut
         }
         Some(Err(error)) if error.failure.is_not_run() => {
             if matches!(error.failure, Failure::Connect(_)) {
-                cx.paths.failed(addr);
+                cx.unreachable.record_failure(addr);
             }
-            open.end(Kind::Unreachable);
-            Sent::Unreached(error.req.map(Request::into_body))
+            active_slot.end(Kind::Unreachable);
+            SendResult::Unreached(error.req.map(Request::into_body))
         }
-        Some(Err(_)) => broken(cx, open).await,
+        Some(Err(_)) => end_broken(cx, active_slot).await,
         Some(Ok(res)) => {
-            cx.paths.works(addr);
-            take_answer(cx, work, open, res, is_first).await
+            cx.unreachable.record_answer(addr);
+            handle_answer(cx, request, active_slot, res, is_first).await
         }
     };
-    cx.metrics.sends.with_label_values(&[sent.name()]).inc();
-    let record = trace::Send {
+    cx.metrics.sends.with_label_values(&[result.name()]).inc();
+    let record = trace::SendRecord {
         span: &span,
         endpoint: &endpoint,
         slot_by,
         tier,
-        doubt,
-        outcome: sent.name(),
-        elapsed: since.elapsed(),
+        health,
+        outcome: result.name(),
+        elapsed: started.elapsed(),
     };
-    trace::send(&cx.log, &cx.names, work, &record);
-    sent
+    trace::send(&cx.log, &cx.names, request, &record);
+    result
 }
 
-/// What an answer says about its endpoint, given what is left until the deadline.
-pub(crate) fn kind_of(status: StatusCode, left: Duration) -> Kind {
+/// Classifies a complete answer by its status and the time left until the deadline.
+pub(crate) fn answer_kind(status: StatusCode, left: Duration) -> Kind {
     match status {
-        // How long it was open says whether that speaks against the endpoint.
-        StatusCode::GATEWAY_TIMEOUT if left < DEADLINE_SLACK => Kind::TimedOut,
+        // Not counted as a failure: the detector decides from the elapsed time whether the endpoint
+        // was too slow.
+        StatusCode::GATEWAY_TIMEOUT if left < DEADLINE_TOLERANCE => Kind::TimedOut,
         it if it.is_server_error() => Kind::Failed,
         _ => Kind::Answered,
     }
 }
 
-/// The connection broke before there was a whole answer.
-async fn broken<D: Dispatch>(cx: &Cx<D>, open: Open<D::Slot>) -> Sent {
-    let kind = break_kind(cx, open.addr()).await;
-    open.end(kind);
-    if kind == Kind::Crashed { Sent::Crashed } else { Sent::Unknown }
+/// Ends a send whose connection broke before the answer was complete.
+async fn end_broken<D: Dispatch>(cx: &Cx<D>, active_slot: ActiveSlot<D::Slot>) -> SendResult {
+    let kind = classify_break(cx, active_slot.addr()).await;
+    active_slot.end(kind);
+    if kind == Kind::Crashed { SendResult::Crashed } else { SendResult::Unknown }
 }
 
-/// What a connection that broke says. Whether the endpoint has ended is looked up at once: it may be back soon, and a
-/// further send that goes out before that is known ends the next endpoint.
-pub(crate) async fn break_kind<D: Dispatch>(cx: &Cx<D>, addr: SocketAddr) -> Kind {
-    if cx.pool.has_ended(addr).await { Kind::Crashed } else { Kind::Failed }
+/// Determines whether a connection broke because the endpoint's process has ended. The check runs
+/// immediately, because the process may be restarted soon, and because a repeat that is sent before
+/// the crash is known could crash the next endpoint.
+pub(crate) async fn classify_break<D: Dispatch>(cx: &Cx<D>, addr: SocketAddr) -> Kind {
+    if cx.pool.refuses_connections(addr).await { Kind::Crashed } else { Kind::Failed }
 }
 
-async fn take_answer<D: Dispatch>(
+/// Checks the head of an answer, reads the body as far as it is buffered and reports the outcome.
+async fn handle_answer<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
-    mut open: Open<D::Slot>,
-    res: Response<AnswerBody<RequestOut>>,
+    request: &Arc<RoutedRequest>,
+    mut active_slot: ActiveSlot<D::Slot>,
+    res: Response<AnswerBody<RequestBody>>,
     is_first: bool,
-) -> Sent {
-    // An upstream that names the request it answers must name this one: answers may be crossed.
-    let named = res.headers().get(&cx.names.request_id);
-    if named.is_some_and(|it| Some(it) != work.headers.get(&cx.names.request_id)) {
-        open.end(Kind::Failed);
-        return Sent::Unknown;
+) -> SendResult {
+    // If the answer carries a request ID, the ID must match: the endpoint may have mixed up the
+    // answers of two requests.
+    let answered_id = res.headers().get(&cx.names.request_id);
+    if answered_id.is_some_and(|it| Some(it) != request.headers.get(&cx.names.request_id)) {
+        active_slot.end(Kind::Failed);
+        return SendResult::Unknown;
     }
     if res.status() == StatusCode::MISDIRECTED_REQUEST {
-        // Another endpoint has the address now; the one that was meant is gone.
-        open.end(Kind::Failed);
-        return Sent::NotRun;
+        // The address now belongs to a different endpoint; the intended one is gone.
+        active_slot.end(Kind::Failed);
+        return SendResult::NotRun;
     }
-    notice::hear(cx, &mut open, &res);
+    notice::report_notices(cx, &mut active_slot, &res);
     if res.headers().contains_key(&cx.names.not_run) && !res.status().is_success() {
         if is_first {
             cx.metrics.first_shed.inc();
         }
-        open.end(Kind::Shed);
-        return Sent::NotRun;
+        active_slot.end(Kind::Shed);
+        return SendResult::NotRun;
     }
-    let is_repeatable = work.route.repeat == Repeat::Anytime;
+    let is_repeatable = request.route.repeat == Repeat::Anytime;
     if is_repeatable && res.headers().contains_key(CONTENT_ENCODING) {
-        open.end(Kind::Failed);
-        return Sent::Unknown;
+        active_slot.end(Kind::Failed);
+        return SendResult::Unknown;
     }
     let is_failure = res.status().is_server_error();
     let (mut parts, body) = res.into_parts();
     headers::strip_hop_by_hop(&mut parts.headers);
     if !is_failure {
-        open.answered();
+        active_slot.record_head();
     }
-    let start = match open.receive(body, work.give_up_at).await {
+    let start = match active_slot.receive(body, request.give_up_at).await {
         None => {
-            open.end(Kind::TimedOut);
-            return Sent::TimedOut;
+            active_slot.end(Kind::TimedOut);
+            return SendResult::TimedOut;
         }
-        Some(Err(_)) => return broken(cx, open).await,
+        Some(Err(_)) => return end_broken(cx, active_slot).await,
         Some(Ok(start)) => start,
     };
     let out = match start {
-        Start::Whole(buf) => {
-            open.end(kind_of(parts.status, work.left()));
-            AnswerOut::Whole(Full::new(buf))
+        AnswerStart::Complete(buf) => {
+            active_slot.end(answer_kind(parts.status, request.left()));
+            ResponseBody::Complete(Full::new(buf))
         }
-        Start::Long(start, body) => {
-            Relay::start(cx.clone(), work.clone(), open, &parts, start, body)
+        AnswerStart::Partial(start, body) => {
+            Relay::start(cx.clone(), request.clone(), active_slot, &parts, start, body)
         }
     };
     let res = Response::from_parts(parts, out);
-    if is_failure && is_repeatable { Sent::Failure(res) } else { Sent::Answer(res) }
+    if is_failure && is_repeatable { SendResult::Failure(res) } else { SendResult::Answer(res) }
 }
--- a/crates/caller/src/body.rs
+++ b/crates/caller/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and answers, buffered or streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -9,43 +9,45 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use crate::room::{BodyRoom, Taken};
+use crate::body_memory::{BodyMemory, Reservation};
 
-/// Requests up to this length are held until they are answered, so that they can be sent again.
-const HOLD_BYTES: usize = 64 * 1024;
-/// The same for longer ones, while the node has room for them.
-const HOLD_IN_ROOM_BYTES: usize = 1024 * 1024;
+/// Request bodies up to this length are always kept until the request is answered, so that it can
+/// be sent again.
+const ALWAYS_KEPT_BYTES: usize = 64 * 1024;
+/// Request bodies up to this length are kept while the node's memory budget for long bodies allows.
+const MAX_KEPT_BYTES: usize = 1024 * 1024;
 
-/// Why a body broke off.
+/// Why a body could not be read to its end.
 #[derive(Clone, Debug, thiserror::Error)]
 pub(crate) enum BodyError {
-    #[error("the upstream's answer broke off and could not be continued")]
+    #[error("the upstream's answer was truncated and could not be resumed")]
     Upstream,
-    #[error("the caller's request broke off")]
+    #[error("the caller's request body was truncated")]
     Caller,
     #[error("the request is longer than {0} bytes: raise `traffic.max_body_bytes` or send less")]
     TooLong(u64),
 }
 
 /// Body of an answer to a caller.
-pub(crate) enum AnswerOut {
-    /// Known whole.
-    Whole(Full<Bytes>),
-    /// Still arriving. Only `Part::End` ends it as whole; a channel that closes without it breaks
-    /// the answer off, so that no failure of the relay can pass for an end.
-    Stream(mpsc::Receiver<Part>),
+pub(crate) enum ResponseBody {
+    /// A complete body.
+    Complete(Full<Bytes>),
+    /// A body that is still arriving. It is complete only after `Part::End`; a channel that closes
+    /// without it aborts the answer, so that a failure of the relay cannot look like a complete
+    /// answer.
+    Streamed(mpsc::Receiver<RelayItem>),
 }
 
-/// One step of an answer that is relayed.
-pub(crate) enum Part {
+/// A message from the relay to the body of the caller's answer.
+pub(crate) enum RelayItem {
     /// Data or trailers.
     Frame(Frame<Bytes>),
-    /// The answer has arrived whole.
+    /// The answer is complete.
     End,
 }
 
-impl Part {
-    /// Bytes of data in it.
+impl RelayItem {
+    /// Number of data bytes.
     pub(crate) fn len(&self) -> u64 {
         match self {
             Self::Frame(frame) => frame.data_ref().map_or(0, |it| it.len() as u64),
@@ -54,7 +56,7 @@
     }
 }
 
-impl Body for AnswerOut {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -63,44 +65,46 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
-            Self::Stream(it) => match ready!(it.poll_recv(cx)) {
-                Some(Part::Frame(frame)) => Poll::Ready(Some(Ok(frame))),
-                Some(Part::End) => Poll::Ready(None),
+            Self::Complete(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
+            Self::Streamed(it) => match ready!(it.poll_recv(cx)) {
+                Some(RelayItem::Frame(frame)) => Poll::Ready(Some(Ok(frame))),
+                Some(RelayItem::End) => Poll::Ready(None),
                 None => Poll::Ready(Some(Err(BodyError::Upstream))),
             },
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(it) if it.is_end_stream())
+        matches!(self, Self::Complete(it) if it.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(it) => it.size_hint(),
-            Self::Stream(_) => SizeHint::default(),
+            Self::Complete(it) => it.size_hint(),
+            Self::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
 /// Body of a request on its way to an upstream.
-pub(crate) enum RequestOut {
-    /// Held whole; a copy of it costs nothing.
-    Held(Full<Bytes>),
-    /// Passed on as it arrives; it can be sent once.
-    Stream(StreamOut),
+pub(crate) enum RequestBody {
+    /// A complete body. Clones share the buffer.
+    Complete(Full<Bytes>),
+    /// A body that is passed on as it arrives. It can be sent only once.
+    Streamed(StreamedBody),
 }
 
-/// The start of a body that was read already, and the rest of it.
-pub(crate) struct StreamOut {
+/// A request body that is too long to keep: the start that was already read, and the rest.
+pub(crate) struct StreamedBody {
     start: Bytes,
     rest: Incoming,
-    left: u64,
+    /// Bytes that may still be read from `rest`.
+    remaining: u64,
+    /// Maximum length of the body.
     limit: u64,
 }
 
-impl Body for RequestOut {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -109,33 +113,33 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Held(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
-            Self::Stream(it) => it.poll_frame(cx),
+            Self::Complete(it) => Pin::new(it).poll_frame(cx).map_err(|never| match never {}),
+            Self::Streamed(it) => it.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Held(it) => it.is_end_stream(),
-            Self::Stream(it) => it.start.is_empty() && it.rest.is_end_stream(),
+            Self::Complete(it) => it.is_end_stream(),
+            Self::Streamed(it) => it.start.is_empty() && it.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Held(it) => it.size_hint(),
-            Self::Stream(it) => it.size_hint(),
+            Self::Complete(it) => it.size_hint(),
+            Self::Streamed(it) => it.size_hint(),
         }
     }
 }
 
-impl StreamOut {
-    /// What was read before the first send.
+impl StreamedBody {
+    /// The part that was read before the send.
     pub(crate) fn start(&self) -> &[u8] {
         &self.start
     }
 
-    /// Bytes that are known to follow, the start included.
+    /// Length of the complete body, if known.
     pub(crate) fn size_hint(&self) -> SizeHint {
         match self.rest.size_hint().exact() {
             Some(n) => SizeHint::with_exact(n + self.start.remaining() as u64),
@@ -156,52 +160,52 @@
         };
         let frame = frame.map_err(|_| BodyError::Caller);
         if let Ok(Some(data)) = frame.as_ref().map(Frame::data_ref) {
-            let Some(left) = self.left.checked_sub(data.len() as u64) else {
+            let Some(remaining) = self.remaining.checked_sub(data.len() as u64) else {
                 return Poll::Ready(Some(Err(BodyError::TooLong(self.limit))));
             };
-            self.left = left;
+            self.remaining = remaining;
         }
         Poll::Ready(Some(frame))
     }
 }
 
-/// Answers up to this are held until they have arrived whole, so that one that breaks off can be
-/// asked for again before the caller has seen any of it. The users' archives are a tenth to a half
-/// of it.
-const HOLD_ANSWER_BYTES: usize = 1024 * 1024;
+/// Answers up to this length are buffered until they are complete, so that after a truncated one
+/// the request can be sent again before the caller has received any of it. The archives that users
+/// download are a tenth to a half of this length.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// The start of an answer.
-pub(crate) enum Start<B> {
-    /// All of it.
-    Whole(Bytes),
-    /// More than is held.
-    Long(Bytes, B),
+/// The buffered start of an answer.
+pub(crate) enum AnswerStart<B> {
+    /// The complete body.
+    Complete(Bytes),
+    /// The first bytes of a body that is too long to buffer, and the rest.
+    Partial(Bytes, B),
 }
 
-/// An answer that is read until it ends or is too long to hold.
-pub(crate) struct Reading<B> {
-    /// Nothing once the start was handed out.
+/// Reads an answer until it ends or is too long to buffer.
+pub(crate) struct AnswerReader<B> {
+    /// `None` once the start was returned.
     body: Option<B>,
     buf: BytesMut,
 }
 
-impl<B> Reading<B>
+impl<B> AnswerReader<B>
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    /// Begins with `body`.
+    /// Starts to read `body`.
     pub(crate) fn new(body: B) -> Self {
         Self { body: Some(body), buf: BytesMut::new() }
     }
 
-    /// Reads what comes next; returns the start of the answer once that is all that is held of it. Nothing is lost if the
-    /// future is dropped.
-    pub(crate) async fn step(&mut self) -> Result<Option<Start<B>>, B::Error> {
+    /// Reads the next frame. Returns the start of the answer once it is complete or too long to
+    /// buffer. Cancel safe.
+    pub(crate) async fn read_frame(&mut self) -> Result<Option<AnswerStart<B>>, B::Error> {
         let Some(body) = &mut self.body else { return Ok(None) };
-        let is_too_long = body.size_hint().lower() > HOLD_ANSWER_BYTES as u64;
+        let is_too_long = body.size_hint().lower() > MAX_BUFFERED_ANSWER_BYTES as u64;
         if !is_too_long {
             match body.frame().await {
-                None => return Ok(Some(Start::Whole(self.buf.split().freeze()))),
+                None => return Ok(Some(AnswerStart::Complete(self.buf.split().freeze()))),
                 Some(frame) => {
                     if let Ok(data) = frame?.into_data() {
                         self.buf.extend_from_slice(&data);
@@ -209,36 +213,36 @@
                 }
             }
         }
-        if !is_too_long && self.buf.len() <= HOLD_ANSWER_BYTES {
+        if !is_too_long && self.buf.len() <= MAX_BUFFERED_ANSWER_BYTES {
             return Ok(None);
         }
         let start = self.buf.split().freeze();
-        Ok(self.body.take().map(|body| Start::Long(start, body)))
+        Ok(self.body.take().map(|body| AnswerStart::Partial(start, body)))
     }
 }
 
-/// A caller's body after its start has been read.
-pub(crate) enum Received {
-    /// The whole of it, and the room that it takes. Its trailers are dropped.
-    Whole(Bytes, #[expect(dead_code, reason = "gives the room back when it is dropped")] Taken),
-    /// More than is held.
-    Long(StreamOut),
-    /// Was passed on and can be sent no more.
-    Spent,
+/// The body of a caller's request after its start, or all of it, has been read.
+pub(crate) enum ReceivedBody {
+    /// The complete body without its trailers, and its share of the memory budget.
+    Complete(Bytes, #[expect(dead_code, reason = "releases the reservation on drop")] Reservation),
+    /// A body that is too long to keep.
+    Streamed(StreamedBody),
+    /// The body was streamed to an endpoint and cannot be sent again.
+    Consumed,
 }
 
-impl Received {
-    /// Reads a body until it ends or is too long to hold.
+impl ReceivedBody {
+    /// Reads a body until it ends or is too long to keep.
     pub(crate) async fn read(
         mut body: Incoming,
         limit: u64,
-        room: &BodyRoom,
+        body_memory: &BodyMemory,
     ) -> Result<Self, BodyError> {
         if body.size_hint().lower() > limit {
             return Err(BodyError::TooLong(limit));
         }
         let mut buf = BytesMut::new();
-        let mut taken = Taken::default();
+        let mut reservation = Reservation::default();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|_| BodyError::Caller)?;
             let Ok(data) = frame.into_data() else { continue };
@@ -246,34 +250,35 @@
             if buf.len() as u64 > limit {
                 return Err(BodyError::TooLong(limit));
             }
-            // What is known to follow is asked for at once: a body that is held in part takes room in vain.
-            let whole = buf.len() + body.size_hint().lower() as usize;
-            let is_held =
-                whole <= HOLD_BYTES || whole <= HOLD_IN_ROOM_BYTES && room.grow(&mut taken, whole);
-            if buf.len() > HOLD_BYTES && !is_held {
-                let left = limit - buf.len() as u64;
+            // Memory for the known remainder is reserved at once: a body that gets only a part of
+            // the memory that it needs would occupy that part without any use.
+            let known_len = buf.len() + body.size_hint().lower() as usize;
+            let is_kept = known_len <= ALWAYS_KEPT_BYTES
+                || known_len <= MAX_KEPT_BYTES && body_memory.grow(&mut reservation, known_len);
+            if buf.len() > ALWAYS_KEPT_BYTES && !is_kept {
+                let remaining = limit - buf.len() as u64;
                 let start = buf.freeze();
-                return Ok(Self::Long(StreamOut { start, rest: body, left, limit }));
+                return Ok(Self::Streamed(StreamedBody { start, rest: body, remaining, limit }));
             }
         }
-        Ok(Self::Whole(buf.freeze(), taken))
+        Ok(Self::Complete(buf.freeze(), reservation))
     }
 
-    /// The body for the next send, or nothing if it can be sent no more.
-    pub(crate) fn next(&mut self) -> Option<RequestOut> {
-        if let Self::Whole(it, _) = self {
-            return Some(RequestOut::Held(Full::new(it.clone())));
+    /// The body for the next send, or `None` if it cannot be sent again.
+    pub(crate) fn next(&mut self) -> Option<RequestBody> {
+        if let Self::Complete(it, _) = self {
+            return Some(RequestBody::Complete(Full::new(it.clone())));
         }
-        match std::mem::replace(self, Self::Spent) {
-            Self::Long(it) => Some(RequestOut::Stream(it)),
+        match std::mem::replace(self, Self::Consumed) {
+            Self::Streamed(it) => Some(RequestBody::Streamed(it)),
             _ => None,
         }
     }
 
     /// Takes back a body of which nothing was sent.
-    pub(crate) fn put_back(&mut self, body: RequestOut) {
-        if let RequestOut::Stream(it) = body {
-            *self = Self::Long(it);
+    pub(crate) fn put_back(&mut self, body: RequestBody) {
+        if let RequestBody::Streamed(it) = body {
+            *self = Self::Streamed(it);
         }
     }
 }
--- a/crates/caller/src/cx.rs
+++ b/crates/caller/src/cx.rs
@@ -1,26 +1,26 @@
-//! What all requests of one listener share.
+//! State shared by all requests of a listener.
 
 use slog::Logger;
 use tokio::sync::watch;
 use upstream::Pool;
 
-use crate::body::RequestOut;
-use crate::paths::Paths;
-use crate::room::BodyRoom;
-use crate::{HeaderNames, Limits, Metrics, Shared};
+use crate::body::RequestBody;
+use crate::body_memory::BodyMemory;
+use crate::unreachable::UnreachableEndpoints;
+use crate::{HeaderNames, Limits, Metrics, SharedSnapshot};
 
-/// What all requests of one listener share.
+/// State shared by all requests of a listener.
 pub(crate) struct Cx<D> {
-    pub(crate) shared: Shared,
+    pub(crate) shared: SharedSnapshot,
     pub(crate) dispatch: D,
-    pub(crate) pool: Pool<RequestOut>,
-    pub(crate) paths: Paths,
-    /// For long bodies that are held for another send.
-    pub(crate) room: BodyRoom,
+    pub(crate) pool: Pool<RequestBody>,
+    pub(crate) unreachable: UnreachableEndpoints,
+    /// Memory budget for long request bodies that are kept for a repeat.
+    pub(crate) body_memory: BodyMemory,
     pub(crate) names: HeaderNames,
     pub(crate) limits: Limits,
     pub(crate) metrics: Metrics,
-    /// Whether a planned stop has begun: answers then ask callers to go elsewhere.
+    /// Whether a planned stop has begun. Answers then ask callers to close the connection.
     pub(crate) draining: watch::Receiver<bool>,
     pub(crate) log: Logger,
 }
--- a/crates/caller/src/exchange.rs
+++ b/crates/caller/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The life of one request: route, read, send until there is an answer or none can come, answer.
+//! Handles one request from its head to the head of its answer: route, check the allowance, read
+//! the body, send, answer.
 
 use std::sync::Arc;
 
@@ -8,55 +9,72 @@
 use tokio::time::{Instant, timeout};
 
 use crate::answer::{GiveUp, refuse};
-use crate::body::{AnswerOut, BodyError, Received};
-use crate::content::request_key;
+use crate::body::{BodyError, ReceivedBody, ResponseBody};
 use crate::cx::Cx;
-use crate::in_flight::{Counted, InFlight};
+use crate::in_flight::{CountedBody, InFlightGuard};
+use crate::request_key::request_key;
+use crate::routed_request::{RouteError, RoutedRequest};
 use crate::sending::send_until_done;
 use crate::trace;
-use crate::work::{NoWork, Work};
 use crate::{Admission, Dispatch};
 
-/// Serves one request.
+/// Serves one request and keeps it counted as in flight until the end of its answer.
 pub(crate) async fn serve<D: Dispatch>(
     cx: Arc<Cx<D>>,
     req: Request<Incoming>,
-) -> Response<Counted> {
-    let guard = InFlight::new(&cx.metrics);
+) -> Response<CountedBody> {
+    let guard = InFlightGuard::new(&cx.metrics);
     let mut res = answer(&cx, req).await;
     if *cx.draining.borrow() {
         res.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    res.map(|body| Counted::new(body, guard))
+    res.map(|body| CountedBody::new(body, guard))
 }
 
-async fn answer<D: Dispatch>(cx: &Arc<Cx<D>>, req: Request<Incoming>) -> Response<AnswerOut> {
+/// Routes the request and returns its answer.
+async fn answer<D: Dispatch>(cx: &Arc<Cx<D>>, req: Request<Incoming>) -> Response<ResponseBody> {
     let started = Instant::now();
     let id = req.headers().get(&cx.names.request_id).cloned();
-    let mut res = match Work::new(cx, &req) {
+    let mut res = match RoutedRequest::new(cx, &req) {
         _ if cx.metrics.in_flight.get() > cx.limits.max_in_flight as i64 => {
             give_up_unrouted(cx, id.as_ref(), GiveUp::too_many_in_flight())
         }
-        Ok(work) => match admit(cx, &work).await {
-            Ok(()) => run(cx, work, req.into_body(), started).await,
+        Ok(request) => match admit(cx, &request).await {
+            Ok(()) => read_and_send(cx, request, req.into_body(), started).await,
             Err(give_up) => {
-                cx.dispatch.refused(&work.route);
-                given_up(cx, &work, give_up, started)
+                cx.dispatch.record_refused(&request.route);
+                answer_given_up(cx, &request, give_up, started)
             }
         },
-        Err(NoWork::NoConfiguration) => {
+        Err(RouteError::NoConfiguration) => {
             give_up_unrouted(cx, id.as_ref(), GiveUp::no_configuration())
         }
-        Err(NoWork::MayBeOutdated) => give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_outdated()),
-        Err(NoWork::MayBeLeftOut) => give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_left_out()),
-        Err(NoWork::Suspended) => give_up_unrouted(cx, id.as_ref(), GiveUp::suspended()),
-        Err(NoWork::Denied(denied)) => {
+        Err(RouteError::MayBeOutdated) => {
+            give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_outdated())
+        }
+        Err(RouteError::MayBeLeftOut) => {
+            give_up_unrouted(cx, id.as_ref(), GiveUp::may_be_left_out())
+        }
+        Err(RouteError::Suspended) => give_up_unrouted(cx, id.as_ref(), GiveUp::suspended()),
+        Err(RouteError::Denied(denied)) => {
             cx.metrics.denied.with_label_values(&[denied.name()]).inc();
-            trace::refused(&cx.log, id.as_ref(), version(cx), denied.status(), denied.name());
+            trace::refused(
+                &cx.log,
+                id.as_ref(),
+                config_version(cx),
+                denied.status(),
+                denied.name(),
+            );
             refuse(denied.status(), denied.text())
         }
-        Err(NoWork::NoRoute) => {
-            trace::refused(&cx.log, id.as_ref(), version(cx), StatusCode::NOT_FOUND, "no route");
+        Err(RouteError::NoRoute) => {
+            trace::refused(
+                &cx.log,
+                id.as_ref(),
+                config_version(cx),
+                StatusCode::NOT_FOUND,
+                "no route",
+            );
             refuse(StatusCode::NOT_FOUND, "no route: check host, path and method\n")
         }
     };
@@ -66,29 +84,30 @@
     res
 }
 
-/// The version in force, for the log of a request that has found no route in it.
-fn version<D>(cx: &Cx<D>) -> u64 {
+/// The version of the configuration in force, to log with requests that are not routed.
+fn config_version<D>(cx: &Cx<D>) -> u64 {
     cx.shared.load().config.version
 }
 
-/// Gives up a request before it has a route.
+/// Gives up a request that is not routed.
 fn give_up_unrouted<D: Dispatch>(
     cx: &Arc<Cx<D>>,
     id: Option<&HeaderValue>,
-    why: GiveUp,
-) -> Response<AnswerOut> {
-    cx.metrics.requests.with_label_values(&[why.outcome()]).inc();
-    cx.metrics.given_up.with_label_values(&[why.cause]).inc();
-    trace::refused(&cx.log, id, version(cx), why.status(), why.reason);
-    why.response()
+    give_up: GiveUp,
+) -> Response<ResponseBody> {
+    cx.metrics.requests.with_label_values(&[give_up.outcome()]).inc();
+    cx.metrics.given_up.with_label_values(&[give_up.cause]).inc();
+    trace::refused(&cx.log, id, config_version(cx), give_up.status(), give_up.reason);
+    give_up.response()
 }
 
-/// Takes the request from the allowance of its organisation, before its body is read.
-async fn admit<D: Dispatch>(cx: &Arc<Cx<D>>, work: &Work) -> Result<(), GiveUp> {
-    if !work.caller.is_limited() {
+/// Charges the request to the allowance of its organisation, before the body is read.
+async fn admit<D: Dispatch>(cx: &Arc<Cx<D>>, request: &RoutedRequest) -> Result<(), GiveUp> {
+    if !request.caller.is_limited() {
         return Ok(());
     }
-    let admission = clock::timeout_at(work.deadline, cx.dispatch.admit(work.caller.hash)).await;
+    let admission =
+        clock::timeout_at(request.deadline, cx.dispatch.admit(request.caller.hash)).await;
     match admission.unwrap_or(Admission::Unknown) {
         Admission::Granted => Ok(()),
         Admission::Exhausted { retry_after } => Err(GiveUp::allowance_used_up(retry_after)),
@@ -96,18 +115,21 @@
     }
 }
 
-async fn run<D: Dispatch>(
+/// Reads the body and sends the request.
+async fn read_and_send<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    mut work: Work,
+    mut request: RoutedRequest,
     body: Incoming,
     started: Instant,
-) -> Response<AnswerOut> {
-    let limit = cx.limits.max_body_bytes.min(work.snapshot.config.limits.body_bytes);
-    let read = timeout(cx.limits.read_timeout, Received::read(body, limit, &cx.room)).await;
+) -> Response<ResponseBody> {
+    let limit = cx.limits.max_body_bytes.min(request.snapshot.config.limits.body_bytes);
+    let read =
+        timeout(cx.limits.read_timeout, ReceivedBody::read(body, limit, &cx.body_memory)).await;
     let refused = match read {
         Ok(Ok(mut body)) => {
-            work.key = request_key(&cx.names, &work.method, &work.uri, &work.headers, &body);
-            return finish(cx, &Arc::new(work), &mut body, started).await;
+            request.key =
+                request_key(&cx.names, &request.method, &request.uri, &request.headers, &body);
+            return send_and_record(cx, &Arc::new(request), &mut body, started).await;
         }
         Ok(Err(BodyError::TooLong(_))) => {
             (StatusCode::PAYLOAD_TOO_LARGE, "the request is too long\n")
@@ -115,54 +137,57 @@
         Ok(Err(_)) => (StatusCode::BAD_REQUEST, "the request broke off\n"),
         Err(_) => (StatusCode::REQUEST_TIMEOUT, "the request came too slowly\n"),
     };
-    let id = work.headers.get(&cx.names.request_id);
-    trace::refused(&cx.log, id, work.snapshot.config.version, refused.0, refused.1.trim_end());
+    let id = request.headers.get(&cx.names.request_id);
+    trace::refused(&cx.log, id, request.snapshot.config.version, refused.0, refused.1.trim_end());
     refuse(refused.0, refused.1)
 }
 
-async fn finish<D: Dispatch>(
+/// Sends a request whose body was read, and records how it ended.
+async fn send_and_record<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
-    body: &mut Received,
+    request: &Arc<RoutedRequest>,
+    body: &mut ReceivedBody,
     started: Instant,
-) -> Response<AnswerOut> {
-    let res = match send_until_done(cx, work, body).await {
+) -> Response<ResponseBody> {
+    let res = match send_until_done(cx, request, body).await {
         Ok(res) => {
-            ended(cx, work, "answered", &res, started);
+            record_end(cx, request, "answered", &res, started);
             res
         }
-        Err(it) => given_up(cx, work, it, started),
+        Err(it) => answer_given_up(cx, request, it, started),
     };
-    // Who uses one of several services judges the others by it too.
-    if res.status().is_server_error() && !work.route.split.is_empty() {
-        cx.dispatch.unserved(&work.route, &work.service);
+    // The availability target of each service of a split route includes all requests of the route,
+    // also those that went to another of its services.
+    if res.status().is_server_error() && !request.route.split.is_empty() {
+        cx.dispatch.record_unserved(&request.route, &request.service);
     }
     res
 }
 
-fn given_up<D: Dispatch>(
+/// Logs and counts a routed request that is given up, and returns its answer.
+fn answer_given_up<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Work,
-    why: GiveUp,
+    request: &RoutedRequest,
+    give_up: GiveUp,
     started: Instant,
-) -> Response<AnswerOut> {
-    trace::give_up(&cx.log, &cx.names, work, why);
-    cx.metrics.given_up.with_label_values(&[why.cause]).inc();
-    let res = why.response();
-    ended(cx, work, why.outcome(), &res, started);
+) -> Response<ResponseBody> {
+    trace::give_up(&cx.log, &cx.names, request, give_up);
+    cx.metrics.given_up.with_label_values(&[give_up.cause]).inc();
+    let res = give_up.response();
+    record_end(cx, request, give_up.outcome(), &res, started);
     res
 }
 
-/// Takes note of how a request has ended.
-fn ended<D: Dispatch>(
+/// Logs and counts a routed request that has ended.
+fn record_end<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Work,
+    request: &RoutedRequest,
     outcome: &'static str,
-    res: &Response<AnswerOut>,
+    res: &Response<ResponseBody>,
     started: Instant,
 ) {
     let elapsed = started.elapsed();
     cx.metrics.requests.with_label_values(&[outcome]).inc();
     cx.metrics.latency.with_label_values(&[outcome]).observe(elapsed.as_secs_f64());
-    trace::request(&cx.log, &cx.names, work, outcome, res.status(), elapsed);
+    trace::request(&cx.log, &cx.names, request, outcome, res.status(), elapsed);
 }
--- a/crates/caller/src/in_flight.rs
+++ b/crates/caller/src/in_flight.rs
@@ -1,4 +1,5 @@
-//! Requests in flight, counted from the head of the request to the end of the answer's body.
+//! The gauge of requests in flight. A request counts from the arrival of its head to the end of the
+//! answer's body.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,37 +8,37 @@
 use http_body::{Body, Frame, SizeHint};
 
 use crate::Metrics;
-use crate::body::{AnswerOut, BodyError};
+use crate::body::{BodyError, ResponseBody};
 
-/// An answer that counts as in flight until its body has ended.
-pub(crate) struct Counted {
-    body: AnswerOut,
-    _guard: InFlight,
+/// The body of an answer; its request counts as in flight until the body is dropped.
+pub(crate) struct CountedBody {
+    body: ResponseBody,
+    _guard: InFlightGuard,
 }
 
-/// One request in flight; it ends when this is dropped.
-pub(crate) struct InFlight(Metrics);
+/// Counts one request as in flight until it is dropped.
+pub(crate) struct InFlightGuard(Metrics);
 
-impl Counted {
-    pub(crate) fn new(body: AnswerOut, guard: InFlight) -> Self {
+impl CountedBody {
+    pub(crate) fn new(body: ResponseBody, guard: InFlightGuard) -> Self {
         Self { body, _guard: guard }
     }
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(crate) fn new(metrics: &Metrics) -> Self {
         metrics.in_flight.inc();
         Self(metrics.clone())
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.dec();
     }
 }
 
-impl Body for Counted {
+impl Body for CountedBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,13 +1,14 @@
-//! The listener for callers and the life of a request: route, wait for a slot, send, answer.
+//! The listener for callers and the request path: route, wait for a slot, send, answer.
 //!
-//! Every request ends in one whole answer, in a broken-off answer that the caller can see is broken
-//! off, or in an error that says whether the request ran. This crate must not know how nodes talk
-//! to each other; slots come from a `Dispatch`.
+//! Every request ends in exactly one of three ways: with a complete answer, with a truncated answer
+//! that the caller can recognise as truncated, or with an error that states whether the request may
+//! have run. This crate must not depend on how nodes communicate; slots come from a [`Dispatch`].
 
+mod active_slot;
 mod answer;
 mod attempt;
 mod body;
-mod content;
+mod body_memory;
 mod cx;
 mod dispatch;
 mod exchange;
@@ -17,21 +18,20 @@
 mod listener;
 mod metrics;
 mod notice;
-mod open;
-mod paths;
 mod relay;
-mod room;
+mod request_key;
+mod routed_request;
 mod sending;
 mod snapshot;
 mod trace;
-mod work;
+mod unreachable;
 
 pub use answer::OUTCOME_HEADER;
-pub use dispatch::{Admission, Dispatch, Refused, Slot, Want, Why};
+pub use dispatch::{Admission, Dispatch, RefusalReason, Refused, Slot, SlotRequest};
 pub use headers::HeaderNames;
 pub use listener::{Limits, Listener, ListenerBuilder};
 pub use metrics::Metrics;
-pub use snapshot::{Shared, Snapshot};
+pub use snapshot::{SharedSnapshot, Snapshot};
 
 #[cfg(test)]
 mod tests;
--- a/crates/caller/src/relay.rs
+++ b/crates/caller/src/relay.rs
@@ -1,7 +1,8 @@
-//! Answers that are passed on while they arrive, with back pressure from the caller.
+//! Streams long answers to the caller as they arrive, with back pressure.
 //!
-//! A download that stalls or breaks is continued on another endpoint if the upstream gave a strong
-//! validator and accepts ranges; otherwise it is visibly broken off.
+//! A download that stalls or breaks is resumed on another endpoint with a range request if the
+//! answer has a strong validator and the service accepts ranges. Otherwise the answer to the caller
+//! is aborted, so that the caller can detect the truncation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,125 +17,135 @@
 use tokio::time::{Instant, timeout};
 use upstream::{AnswerBody, Reuse};
 
-use crate::attempt::break_kind;
-use crate::body::{AnswerOut, Part, RequestOut};
+use crate::active_slot::{ActiveSlot, STALL_AFTER};
+use crate::attempt::classify_break;
+use crate::body::{RelayItem, RequestBody, ResponseBody};
 use crate::cx::Cx;
-use crate::open::{Open, STALL_AFTER};
-use crate::sending::acquire_open;
-use crate::work::Work;
+use crate::routed_request::RoutedRequest;
+use crate::sending::acquire_skipping_closed;
 use crate::{Dispatch, notice, trace};
 
-/// A stalled body that cannot be continued elsewhere is broken off after this.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(30);
-/// Time to find another endpoint for the rest of a download.
-const RESUME_WITHIN: Duration = Duration::from_secs(10);
-/// Continuations of one download.
+/// A stalled body that cannot be resumed elsewhere is aborted after this additional time.
+const STALL_GIVE_UP_AFTER: Duration = Duration::from_secs(30);
+/// Time limit for resuming a download on another endpoint.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of resume attempts per download.
 const MAX_RESUMES: u32 = 4;
-/// Parts on their way to the caller; more would only hide its pace.
-const PARTS_AHEAD: usize = 2;
+/// Capacity of the channel to the caller. A larger one would only delay back pressure.
+const RELAY_CAPACITY: usize = 2;
 
-/// A body in motion.
+/// State of the task that streams one answer to the caller.
 pub(crate) struct Relay<D: Dispatch> {
     cx: Arc<Cx<D>>,
-    work: Arc<Work>,
-    open: Open<D::Slot>,
-    body: AnswerBody<RequestOut>,
-    tx: mpsc::Sender<Part>,
-    /// Bytes passed on to the caller.
-    sent: u64,
+    request: Arc<RoutedRequest>,
+    active_slot: ActiveSlot<D::Slot>,
+    body: AnswerBody<RequestBody>,
+    tx: mpsc::Sender<RelayItem>,
+    /// Number of bytes passed on to the caller.
+    forwarded: u64,
     resume: Option<Resume>,
 }
 
-/// What is needed to continue a download.
+/// What is needed to resume a download.
 struct Resume {
     etag: HeaderValue,
+    /// Length of the complete body.
     total: u64,
-    left: u32,
+    /// Attempts left.
+    attempts_left: u32,
 }
 
+/// Result of one read from the endpoint.
 enum Step {
     Frame(Frame<Bytes>),
+    /// The answer is complete.
     End,
+    /// The connection broke, or the endpoint stayed silent for too long.
     Broken,
+    /// No data arrived in time, because the endpoint stalled or this process was paused.
     Stalled,
 }
 
 impl<D: Dispatch> Relay<D> {
-    /// Starts to pass on `body` and returns the caller's end of it.
+    /// Spawns a task that streams `start` and then `body`, and returns the caller's end of the
+    /// stream.
     pub(crate) fn start(
         cx: Arc<Cx<D>>,
-        work: Arc<Work>,
-        mut open: Open<D::Slot>,
+        request: Arc<RoutedRequest>,
+        mut active_slot: ActiveSlot<D::Slot>,
         parts: &response::Parts,
         start: Bytes,
-        body: AnswerBody<RequestOut>,
-    ) -> AnswerOut {
-        open.tell_beginning();
-        let (tx, rx) = mpsc::channel(PARTS_AHEAD);
-        let resume = Resume::of(&work.method, parts);
-        tokio::spawn(Self { cx, work, open, body, tx, sent: 0, resume }.run(start));
-        AnswerOut::Stream(rx)
+        body: AnswerBody<RequestBody>,
+    ) -> ResponseBody {
+        active_slot.report_start();
+        let (tx, rx) = mpsc::channel(RELAY_CAPACITY);
+        let resume = Resume::from_answer(&request.method, parts);
+        tokio::spawn(Self { cx, request, active_slot, body, tx, forwarded: 0, resume }.run(start));
+        ResponseBody::Streamed(rx)
     }
 
-    /// Ends when the answer does, or as soon as the caller has left.
+    /// Runs until the answer ends or the caller disconnects.
     async fn run(self, start: Bytes) {
         let tx = self.tx.clone();
         tokio::select! {
-            () = self.pass_on(start) => {}
+            () = self.forward(start) => {}
             () = tx.closed() => {}
         }
     }
 
-    async fn pass_on(mut self, start: Bytes) {
+    /// Forwards the answer, resuming it on other endpoints where possible.
+    async fn forward(mut self, start: Bytes) {
         if !start.is_empty() {
-            let part = Part::Frame(Frame::data(start));
-            self.sent += part.len();
-            if self.tx.send(part).await.is_err() {
+            let item = RelayItem::Frame(Frame::data(start));
+            self.forwarded += item.len();
+            if self.tx.send(item).await.is_err() {
                 return;
             }
         }
         loop {
-            let part = match self.step().await {
-                Step::Frame(frame) => Part::Frame(frame),
-                Step::End => Part::End,
+            let item = match self.read_step().await {
+                Step::Frame(frame) => RelayItem::Frame(frame),
+                Step::End => RelayItem::End,
                 step @ (Step::Broken | Step::Stalled) => {
                     if matches!(step, Step::Broken) {
-                        // First: the endpoint that goes on is chosen by what is known of this one and of the request.
-                        let kind = break_kind(&self.cx, self.open.addr()).await;
-                        self.open.give_back(kind);
+                        // Reported before the resume, so that dispatch takes the failure into
+                        // account when it chooses the next endpoint.
+                        let kind = classify_break(&self.cx, self.active_slot.addr()).await;
+                        self.active_slot.release(kind);
                     }
                     match self.resume().await {
                         true => continue,
-                        // Dropping the channel without `End` breaks the answer off.
+                        // Dropping the channel without `End` aborts the answer to the caller.
                         false => return self.break_off(&step),
                     }
                 }
             };
-            let is_end = matches!(part, Part::End);
-            self.sent += part.len();
-            if self.tx.send(part).await.is_err() {
+            let is_end = matches!(item, RelayItem::End);
+            self.forwarded += item.len();
+            if self.tx.send(item).await.is_err() {
                 return;
             }
             if is_end {
-                self.open.end(Kind::Answered);
+                self.active_slot.end(Kind::Answered);
                 return;
             }
         }
     }
 
-    async fn step(&mut self) -> Step {
-        let waiting_since = Instant::now();
-        self.open.heard();
+    /// Reads the next frame, and reports a stall.
+    async fn read_step(&mut self) -> Step {
+        let read_started = Instant::now();
+        self.active_slot.record_activity();
         let frame = match timeout(STALL_AFTER, self.body.frame()).await {
             Ok(frame) => frame,
-            // A timer that is very late speaks of this process, not of the endpoint.
-            Err(_) if waiting_since.elapsed() > STALL_AFTER * 2 => return Step::Stalled,
+            // If the timer fires very late, this process was paused; the endpoint is not at fault.
+            Err(_) if read_started.elapsed() > STALL_AFTER * 2 => return Step::Stalled,
             Err(_) => {
-                self.open.stalled();
+                self.active_slot.report_stall();
                 if self.resume.is_some() {
                     return Step::Stalled;
                 }
-                match timeout(GIVE_UP_AFTER, self.body.frame()).await {
+                match timeout(STALL_GIVE_UP_AFTER, self.body.frame()).await {
                     Ok(frame) => frame,
                     Err(_) => return Step::Broken,
                 }
@@ -147,95 +158,110 @@
         }
     }
 
-    /// Continues on another endpoint; the bytes that follow are the bytes that were missing.
+    /// Resumes the download on another endpoint at the first missing byte.
     async fn resume(&mut self) -> bool {
-        let give_up_at = Instant::now() + RESUME_WITHIN;
+        let give_up_at = Instant::now() + RESUME_TIMEOUT;
         while Instant::now() < give_up_at {
             let Some(resume) = &mut self.resume else { return false };
-            let Some(left) = resume.left.checked_sub(1) else { return false };
-            resume.left = left;
+            let Some(attempts_left) = resume.attempts_left.checked_sub(1) else { return false };
+            resume.attempts_left = attempts_left;
             if self.try_resume().await.is_some() {
                 self.cx.metrics.resumes.inc();
-                trace::continued(&self.cx, &self.work, &self.open.grant().endpoint, self.sent);
+                trace::resumed(
+                    &self.cx,
+                    &self.request,
+                    &self.active_slot.grant().endpoint,
+                    self.forwarded,
+                );
                 return true;
             }
         }
         false
     }
 
+    /// Logs the abort and releases the slot.
     fn break_off(self, step: &Step) {
-        let endpoint = self.open.grant().endpoint.clone();
+        let endpoint = self.active_slot.grant().endpoint.clone();
         let reason = match step {
             Step::Stalled => "the endpoint went silent in the middle of its answer",
             _ => "the endpoint broke off its answer",
         };
-        trace::broken_off(&self.cx, &self.work, &endpoint, self.sent, reason);
-        self.open.end(Kind::Failed);
+        trace::broken_off(&self.cx, &self.request, &endpoint, self.forwarded, reason);
+        self.active_slot.end(Kind::Failed);
     }
 
+    /// Makes one attempt to resume.
     async fn try_resume(&mut self) -> Option<()> {
         let resume = self.resume.as_ref()?;
-        let mut want = self.work.want(self.cx.paths.avoided(&[self.open.addr()]));
-        want.left = RESUME_WITHIN;
-        want.send = SendKind::Further;
-        let acquire = acquire_open(&self.cx, want);
-        let slot = timeout(RESUME_WITHIN, acquire).await.ok()?.ok()?;
-        if !self.work.may_be_sent(&self.cx) {
+        let mut slot_request =
+            self.request.slot_request(self.cx.unreachable.to_avoid(&[self.active_slot.addr()]));
+        slot_request.left = RESUME_TIMEOUT;
+        slot_request.send = SendKind::Further;
+        let acquire = acquire_skipping_closed(&self.cx, slot_request);
+        let slot = timeout(RESUME_TIMEOUT, acquire).await.ok()?.ok()?;
+        if !self.request.is_still_authorized(&self.cx) {
             return None;
         }
-        let mut open = Open::new(slot);
-        let body = RequestOut::Held(Full::default());
-        let span = self.work.span.child();
-        let mut req = self.work.request(&self.cx.names, &open.grant().endpoint, &span, body);
-        resume.ask(req.headers_mut(), self.sent);
-        let send = self.cx.pool.send(open.addr(), req, Reuse::Allowed);
+        let mut active_slot = ActiveSlot::new(slot);
+        let body = RequestBody::Complete(Full::default());
+        let span = self.request.span.child();
+        let mut req = self.request.upstream_request(
+            &self.cx.names,
+            &active_slot.grant().endpoint,
+            &span,
+            body,
+        );
+        resume.set_range_headers(req.headers_mut(), self.forwarded);
+        let send = self.cx.pool.send(active_slot.addr(), req, Reuse::Allowed);
         let res = match timeout(STALL_AFTER, send).await.ok()? {
             Ok(res) => res,
             Err(error) => {
                 if !error.failure.is_not_run() {
-                    let kind = break_kind(&self.cx, open.addr()).await;
-                    open.end(kind);
+                    let kind = classify_break(&self.cx, active_slot.addr()).await;
+                    active_slot.end(kind);
                 }
                 return None;
             }
         };
-        notice::hear(&self.cx, &mut open, &res);
-        if !resume.matches(&res, self.sent) {
+        notice::report_notices(&self.cx, &mut active_slot, &res);
+        if !resume.matches(&res, self.forwarded) {
             return None;
         }
-        open.answered();
-        open.tell_beginning();
+        active_slot.record_head();
+        active_slot.report_start();
         self.body = res.into_body();
-        let old = std::mem::replace(&mut self.open, open);
+        let old = std::mem::replace(&mut self.active_slot, active_slot);
         old.end(Kind::Failed);
         Some(())
     }
 }
 
 impl Resume {
-    fn of(method: &Method, parts: &response::Parts) -> Option<Self> {
+    /// The resume state for an answer, or `None` if the download cannot be resumed.
+    fn from_answer(method: &Method, parts: &response::Parts) -> Option<Self> {
         let headers = &parts.headers;
         let etag = headers.get(header::ETAG)?;
         let is_strong = etag.as_bytes().starts_with(b"\"");
-        let ranges = headers.get(header::ACCEPT_RANGES)?.as_bytes() == b"bytes";
+        let accepts_ranges = headers.get(header::ACCEPT_RANGES)?.as_bytes() == b"bytes";
         let total = headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()?;
-        let is_whole = parts.status == StatusCode::OK && *method == Method::GET;
-        (is_whole && is_strong && ranges).then(|| Self {
+        let is_complete = parts.status == StatusCode::OK && *method == Method::GET;
+        (is_complete && is_strong && accepts_ranges).then(|| Self {
             etag: etag.clone(),
             total,
-            left: MAX_RESUMES,
+            attempts_left: MAX_RESUMES,
         })
     }
 
-    /// Asks for what follows the first `have` bytes.
-    fn ask(&self, headers: &mut http::HeaderMap, have: u64) {
-        let range = format!("bytes={have}-");
+    /// Adds the headers that request the bytes after the first `received` ones.
+    fn set_range_headers(&self, headers: &mut http::HeaderMap, received: u64) {
+        let range = format!("bytes={received}-");
         headers.insert(header::RANGE, HeaderValue::from_str(&range).expect("digits"));
         headers.insert(header::IF_RANGE, self.etag.clone());
     }
 
-    fn matches<B>(&self, res: &http::Response<B>, have: u64) -> bool {
-        let range = format!("bytes {have}-{}/{}", self.total.saturating_sub(1), self.total);
+    /// Whether an answer contains exactly the missing bytes of the same version of the body.
+    fn matches<B>(&self, res: &http::Response<B>, received: u64) -> bool {
+        let range = format!("bytes {received}-{}/{}", self.total.saturating_sub(1), self.total);
         let headers = res.headers();
         res.status() == StatusCode::PARTIAL_CONTENT
             && headers.get(header::ETAG) == Some(&self.etag)
--- a/crates/caller/src/work.rs
+++ b/crates/caller/src/routed_request.rs
@@ -1,4 +1,4 @@
-//! One request after its route was found, and the requests sent for it.
+//! A request with its route, caller and deadline, and the upstream requests derived from it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,85 +12,87 @@
 use policy::{RequestKey, SendKind};
 use resources::{Name, Repeat, Route};
 
-use crate::body::RequestOut;
+use crate::body::RequestBody;
 use crate::cx::Cx;
 use crate::headers::{self, HeaderNames, Span};
 use crate::identity::{Caller, Denied};
-use crate::{Snapshot, Want};
+use crate::{SlotRequest, Snapshot};
 
-/// An endpoint stops at the deadline that it was handed and says so; its own word is waited for
-/// this long, a round trip and a late scheduler.
-const LAST_WORD: Duration = Duration::from_millis(80);
+/// How long to wait past the deadline for the endpoint's own timeout answer: a round trip plus
+/// scheduling delay. Endpoints receive the deadline, and answer when they stop at it.
+const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(80);
 
-/// One request after its route was found.
-pub(crate) struct Work {
+/// A request whose route was found and whose caller was identified.
+pub(crate) struct RoutedRequest {
     pub(crate) snapshot: Arc<Snapshot>,
     pub(crate) route: Arc<Route>,
-    /// The service that is to answer.
+    /// The service that the request is sent to, one of the route's.
     pub(crate) service: Name,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
-    /// What makes it the same as another request; known once its body was read.
+    /// Equal for identical requests. Set once the body has been read.
     pub(crate) key: RequestKey,
     pub(crate) span: Span,
     pub(crate) caller: Caller,
-    /// No work is handed out after it, and no endpoint is given more time.
+    /// Nothing is sent after the deadline, and it is passed on to the endpoints.
     pub(crate) deadline: Moment,
-    /// An answer is not waited for any longer.
+    /// When to stop waiting for an answer, a little after the deadline.
     pub(crate) give_up_at: Moment,
-    /// Time spent in waits for slots, in milliseconds.
+    /// Total time spent waiting for slots, in milliseconds.
     slot_ms: AtomicU64,
 }
 
-/// Why a request finds no route.
+/// Why a request is not routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoWork {
+pub(crate) enum RouteError {
     /// No configuration is in force yet.
     NoConfiguration,
     /// No route matches, but a newer configuration may exist.
     MayBeOutdated,
-    /// No route matches, but a part of the configuration was left out.
+    /// No route matches, but invalid resources were left out of the configuration.
     MayBeLeftOut,
-    /// What the route says cannot be served.
+    /// The route is suspended because its configuration cannot be served.
     Suspended,
     /// No route matches.
     NoRoute,
-    /// The caller may not use it.
+    /// The caller is not authorized.
     Denied(Denied),
 }
 
-impl Work {
-    /// Finds the route.
-    pub(crate) fn new<D>(cx: &Cx<D>, req: &Request<Incoming>) -> Result<Self, NoWork> {
-        // Before the configuration, which may be replaced meanwhile by the one that is surely the newest.
+impl RoutedRequest {
+    /// Finds the route of a request and identifies its caller.
+    pub(crate) fn new<D>(cx: &Cx<D>, req: &Request<Incoming>) -> Result<Self, RouteError> {
+        // Read before the configuration is loaded. In the other order an outdated configuration
+        // could be combined with a freshness flag that was set for its successor.
         let is_fresh = cx.shared.is_fresh();
         let snapshot = Arc::clone(&cx.shared.load());
         if snapshot.config.version == 0 {
-            return Err(NoWork::NoConfiguration);
+            return Err(RouteError::NoConfiguration);
         }
         let host = headers::host_of(req.uri(), req.headers());
         let path = req.uri().path();
-        // Why something that is not known here may be known elsewhere.
-        let gap = match (is_fresh, snapshot.config.is_partial) {
-            (false, _) => Some(NoWork::MayBeOutdated),
-            (true, true) => Some(NoWork::MayBeLeftOut),
+        // Why a route or key that is unknown here may still exist.
+        let fallback = match (is_fresh, snapshot.config.is_partial) {
+            (false, _) => Some(RouteError::MayBeOutdated),
+            (true, true) => Some(RouteError::MayBeLeftOut),
             (true, false) => None,
         };
         let Some(route) = snapshot.config.routes.find(&host, path, req.method().as_str()) else {
-            return Err(gap.unwrap_or(NoWork::NoRoute));
+            return Err(fallback.unwrap_or(RouteError::NoRoute));
         };
         if route.suspended {
-            return Err(NoWork::Suspended);
+            return Err(RouteError::Suspended);
         }
         let callers = &snapshot.config.callers;
-        let caller = Caller::of(callers, route, &cx.names, req.headers()).map_err(|denied| {
-            let gap = gap.filter(|_| denied.depends_on_configuration());
-            gap.unwrap_or(NoWork::Denied(denied))
-        })?;
-        let span = Span::of(req.headers());
-        let mut out = onward_headers(&cx.names, req, &span);
-        caller.introduce(callers, &cx.names, &mut out);
+        let caller =
+            Caller::identify(callers, route, &cx.names, req.headers()).map_err(|denied| {
+                let fallback = fallback.filter(|_| denied.depends_on_configuration());
+                fallback.unwrap_or(RouteError::Denied(denied))
+            })?;
+        let span = Span::from_headers(req.headers());
+        let mut out = forwarded_headers(&cx.names, req, &span);
+        caller.set_headers(callers, &cx.names, &mut out);
         let limit = Duration::from_millis(route.deadline_ms.into());
         let left = headers::deadline_of(&cx.names, &out).map_or(limit, |it| it.min(limit));
         let deadline = Moment::now() + left;
@@ -104,43 +106,47 @@
             key: RequestKey::default(),
             span,
             deadline,
-            give_up_at: deadline + LAST_WORD,
+            give_up_at: deadline + FINAL_ANSWER_GRACE,
             slot_ms: AtomicU64::new(0),
             snapshot,
         })
     }
 
+    /// The request ID, for logs.
     pub(crate) fn request_id(&self, names: &HeaderNames) -> &str {
         self.headers.get(&names.request_id).and_then(|it| it.to_str().ok()).unwrap_or("(none)")
     }
 
-    /// Records a wait for a slot.
-    pub(crate) fn waited(&self, it: Duration) {
-        self.slot_ms.fetch_add(it.as_millis() as u64, Ordering::Relaxed);
+    /// Adds to the time spent waiting for slots.
+    pub(crate) fn record_slot_wait(&self, wait: Duration) {
+        self.slot_ms.fetch_add(wait.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Time spent in waits for slots, in milliseconds.
+    /// Total time spent waiting for slots, in milliseconds.
     pub(crate) fn slot_ms(&self) -> u64 {
         self.slot_ms.load(Ordering::Relaxed)
     }
 
-    /// Whether the caller may still be served by what is in force now.
-    pub(crate) fn may_be_sent<D>(&self, cx: &Cx<D>) -> bool {
+    /// Whether the caller is still authorized by the configuration that is in force now.
+    pub(crate) fn is_still_authorized<D>(&self, cx: &Cx<D>) -> bool {
         let current = cx.shared.load();
         current.config.version == self.snapshot.config.version
-            || self.caller.is_known_to(&current.config.callers)
+            || self.caller.is_still_valid(&current.config.callers)
     }
 
+    /// Time left until the deadline.
     pub(crate) fn left(&self) -> Duration {
         self.deadline.left()
     }
 
-    /// Whether no further send may follow one after `sends_before` that reached an endpoint.
+    /// Whether the next send is the last one that the route allows, after `sends_before` earlier
+    /// sends that reached an endpoint.
     pub(crate) fn is_last_send(&self, sends_before: u32) -> bool {
         self.route.repeat != Repeat::Anytime || sends_before + 1 >= self.route.max_sends
     }
 
-    /// The only regions whose endpoints may serve it, if that is restricted: what its route and its organisation both allow.
+    /// The regions whose endpoints may serve the request: those that both the route and the
+    /// organisation allow. `None` if neither restricts them.
     fn regions(&self) -> Option<Vec<Name>> {
         let (route, caller) = (&self.route.regions[..], self.caller.regions());
         match (route, caller) {
@@ -152,8 +158,9 @@
         }
     }
 
-    pub(crate) fn want(&self, avoid: Vec<SocketAddr>) -> Want {
-        Want {
+    /// The slot request for the first send. `avoid` lists endpoints to use only as a last resort.
+    pub(crate) fn slot_request(&self, avoid: Vec<SocketAddr>) -> SlotRequest {
+        SlotRequest {
             route: self.route.clone(),
             service: self.service.clone(),
             request: self.key,
@@ -169,14 +176,14 @@
         }
     }
 
-    /// The request for one send, with a span of its own.
-    pub(crate) fn request(
+    /// The upstream request for one send.
+    pub(crate) fn upstream_request(
         &self,
         names: &HeaderNames,
         endpoint: &Name,
         span: &Span,
-        body: RequestOut,
-    ) -> Request<RequestOut> {
+        body: RequestBody,
+    ) -> Request<RequestBody> {
         let mut req = Request::new(body);
         *req.method_mut() = self.method.clone();
         *req.uri_mut() = self.uri.clone();
@@ -185,14 +192,14 @@
         req.headers_mut().insert(names.deadline.clone(), left.into());
         req.headers_mut().insert(headers::TRACEPARENT, span.header());
         if let Ok(id) = HeaderValue::from_str(endpoint) {
-            req.headers_mut().insert(names.wanted_endpoint.clone(), id);
+            req.headers_mut().insert(names.target_endpoint.clone(), id);
         }
         req
     }
 }
 
-/// The caller's headers without those of this hop. The request's identity is made up if absent.
-fn onward_headers(names: &HeaderNames, req: &Request<Incoming>, span: &Span) -> HeaderMap {
+/// The caller's headers without the hop-by-hop ones. Generates a request ID if there is none.
+fn forwarded_headers(names: &HeaderNames, req: &Request<Incoming>, span: &Span) -> HeaderMap {
     let mut out = req.headers().clone();
     headers::strip_hop_by_hop(&mut out);
     out.remove(header::CONTENT_LENGTH);
@@ -209,6 +216,7 @@
     out
 }
 
+/// The path and query of a URI, as an origin server expects it in the request line.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |it| it.as_str());
     path.parse().expect("the path of a valid URI is a valid URI")
--- a/crates/caller/src/sending.rs
+++ b/crates/caller/src/sending.rs
@@ -1,4 +1,5 @@
-//! Sends a request until there is an answer or the rules forbid another send.
+//! The send loop of a request: acquires a slot, sends, and decides after each send whether another
+//! one may follow.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -12,101 +13,112 @@
 use policy::{Attempt, Next, Outcome, SendKind, next_step};
 use tokio::time::{Instant, sleep, timeout};
 
+use crate::active_slot::HedgeRace;
 use crate::answer::GiveUp;
-use crate::attempt::{Lane, Sent, attempt};
-use crate::body::{AnswerOut, Received, RequestOut};
+use crate::attempt::{SendOrder, SendResult, send_once};
+use crate::body::{ReceivedBody, RequestBody, ResponseBody};
 use crate::cx::Cx;
-use crate::open::Race;
-use crate::work::Work;
-use crate::{Dispatch, Refused, Slot, Want, Why};
+use crate::routed_request::RoutedRequest;
+use crate::{Dispatch, RefusalReason, Refused, Slot, SlotRequest};
 
-/// When to come back after an upstream failed rather than a queue: by then another endpoint is
-/// likely to be chosen. Callers wait no longer than a third of the time that they have left.
+/// `retry-after` for requests that failed at an endpoint instead of being refused by a queue. After
+/// this delay the next attempt probably gets a different endpoint. Callers wait at most a third of
+/// their remaining time before they retry, so the delay has to be short.
 const RETRY_AFTER_FAILURE: Duration = Duration::from_millis(250);
-/// Sends that reach nobody cost little, but each takes the time of a connection that does not come
-/// up.
-const MAX_UNREACHED: u32 = 6;
-/// On trial a hedge starts after this part of the usual time, because the caller must not pay for the
-/// trial.
-const TRIAL_HEDGE_PART: u32 = 2;
+/// Maximum number of sends that fail to connect. Such sends put no load on the service, but each
+/// one can take up to a connect timeout of the caller's deadline.
+const MAX_UNREACHED_SENDS: u32 = 6;
+/// Divides the hedge delay for endpoints on trial, so that a trial does not add much latency for
+/// the caller.
+const TRIAL_HEDGE_DIVISOR: u32 = 2;
 
-/// Slots at closed endpoints that are given back before a request counts as refused.
-const MAX_CLOSED: u32 = 4;
-/// A hedge that found no good endpoint free asks again after this long, a third of a short request.
-const HEDGE_AGAIN: Duration = Duration::from_millis(50);
+/// Maximum number of acquire calls for one send when every granted slot belongs to an endpoint that
+/// currently accepts no requests from this node.
+const MAX_CLOSED_GRANTS: u32 = 4;
+/// Delay before a hedge asks for a slot again when no good endpoint was free. A third of the
+/// duration of a short request.
+const HEDGE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What has happened to a request so far.
+/// The sends of a request so far.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Endpoints that were reached, or could not be.
+    /// Endpoints that a send was made to, whether or not a connection came up.
     tried: Vec<SocketAddr>,
-    /// Sends that an endpoint may have seen.
+    /// Number of sends that an endpoint may have received.
     reached: u32,
-    /// Sends that reached nobody.
+    /// Number of sends of which nothing was written to an endpoint.
     unreached: u32,
+    /// Whether the outcome of an earlier send is unknown.
     unknown_before: bool,
 }
 
-/// Sends until there is an answer or the rules forbid another send.
+/// Sends a request until there is an answer or the route's rules forbid another send.
 pub(crate) async fn send_until_done<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
-    body: &mut Received,
-) -> Result<Response<AnswerOut>, GiveUp> {
+    request: &Arc<RoutedRequest>,
+    body: &mut ReceivedBody,
+) -> Result<Response<ResponseBody>, GiveUp> {
     let mut progress = Progress::default();
-    let mut failure = None;
+    let mut error_answer = None;
     loop {
-        let want = Want {
+        let slot_request = SlotRequest {
             send: progress.send_kind(),
-            is_last: work.is_last_send(progress.reached),
-            ..work.want(cx.paths.avoided(&progress.tried))
+            is_last: request.is_last_send(progress.reached),
+            ..request.slot_request(cx.unreachable.to_avoid(&progress.tried))
         };
-        let slot = match acquire(cx, work, want).await {
+        let slot = match acquire(cx, request, slot_request).await {
             Ok(slot) => slot,
-            Err(refused) => return end(failure, refused, &progress),
+            Err(refused) => return final_result(error_answer, refused, &progress),
         };
-        if !work.may_be_sent(cx) {
+        if !request.is_still_authorized(cx) {
             return match progress.reached {
                 0 => Err(GiveUp::key_taken_away()),
-                _ => end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress),
+                _ => {
+                    final_result(error_answer, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress)
+                }
             };
         }
-        // A long body can be sent once. The wait for a slot may also have been a pause of this
-        // process: nothing is sent too late.
-        let Some(out) = body.next().filter(|_| !work.left().is_zero()) else {
-            return end(failure, Refused::no_capacity(RETRY_AFTER_FAILURE), &progress);
+        // A streamed body can be sent only once. The deadline is checked again because the process
+        // may have been suspended during the wait for a slot, and nothing is sent after the
+        // deadline.
+        let Some(next_body) = body.next().filter(|_| !request.left().is_zero()) else {
+            return final_result(
+                error_answer,
+                Refused::no_capacity(RETRY_AFTER_FAILURE),
+                &progress,
+            );
         };
-        let sent = hedged(cx, work, slot, out, &mut progress).await;
-        let (outcome, timed_out) = match sent {
-            Sent::Answer(res) => return Ok(res),
-            Sent::Failure(res) => {
-                failure = Some(res);
+        let result = send_hedged(cx, request, slot, next_body, &mut progress).await;
+        let (outcome, timed_out) = match result {
+            SendResult::Answer(res) => return Ok(res),
+            SendResult::Failure(res) => {
+                error_answer = Some(res);
                 (Outcome::Unknown, false)
             }
-            Sent::Unreached(back) => {
-                back.into_iter().for_each(|it| body.put_back(it));
+            SendResult::Unreached(unsent) => {
+                unsent.into_iter().for_each(|it| body.put_back(it));
                 (Outcome::NotRun, false)
             }
-            Sent::NotRun => (Outcome::NotRun, false),
-            Sent::Unknown | Sent::Crashed => (Outcome::Unknown, false),
-            Sent::TimedOut => (Outcome::Unknown, true),
+            SendResult::NotRun => (Outcome::NotRun, false),
+            SendResult::Unknown | SendResult::Crashed => (Outcome::Unknown, false),
+            SendResult::TimedOut => (Outcome::Unknown, true),
         };
-        let next = progress.next(work, outcome);
+        let next = progress.next(request, outcome);
         progress.unknown_before |= outcome == Outcome::Unknown;
         let retry_after = RETRY_AFTER_FAILURE;
         match next {
             Next::Again => continue,
-            _ if failure.is_some() => {}
+            _ if error_answer.is_some() => {}
             Next::GiveUpNotRun => return Err(GiveUp::not_run(retry_after)),
             _ if timed_out => return Err(GiveUp::timed_out(retry_after)),
             _ => return Err(GiveUp::unknown(retry_after)),
         }
-        return end(failure, Refused::no_capacity(retry_after), &progress);
+        return final_result(error_answer, Refused::no_capacity(retry_after), &progress);
     }
 }
 
 impl Progress {
-    /// Which send comes next.
+    /// The kind of the next send.
     fn send_kind(&self) -> SendKind {
         match self.reached {
             0 if self.tried.is_empty() => SendKind::First,
@@ -115,104 +127,118 @@
         }
     }
 
-    fn next(&self, work: &Work, outcome: Outcome) -> Next {
+    /// What to do after a send that ended with `outcome`.
+    fn next(&self, request: &RoutedRequest, outcome: Outcome) -> Next {
         let attempt = Attempt {
-            repeat: work.route.repeat,
+            repeat: request.route.repeat,
             unknown_before: self.unknown_before,
             sends: self.reached,
-            max_sends: if self.unreached < MAX_UNREACHED { work.route.max_sends } else { 0 },
-            left: work.left(),
+            max_sends: if self.unreached < MAX_UNREACHED_SENDS {
+                request.route.max_sends
+            } else {
+                0
+            },
+            left: request.left(),
         };
         next_step(outcome, attempt)
     }
 }
 
-/// No further send: an endpoint's own failure goes to the caller if there is one.
-fn end(
-    failure: Option<Response<AnswerOut>>,
+/// The result of a request that is not sent again. An error answer from an endpoint is passed on to
+/// the caller if there is one.
+fn final_result(
+    error_answer: Option<Response<ResponseBody>>,
     refused: Refused,
     progress: &Progress,
-) -> Result<Response<AnswerOut>, GiveUp> {
-    match failure {
+) -> Result<Response<ResponseBody>, GiveUp> {
+    match error_answer {
         Some(res) => Ok(res),
         None if progress.unknown_before => Err(GiveUp::unknown(refused.retry_after)),
         None if progress.reached > 0 => Err(GiveUp::not_run(refused.retry_after)),
-        None => Err(match refused.why {
-            Why::NoCapacity | Why::Closed => GiveUp::overloaded(refused.retry_after),
-            Why::CrashesEndpoints => GiveUp::crashes_endpoints(refused.retry_after),
+        None => Err(match refused.reason {
+            RefusalReason::NoCapacity | RefusalReason::Closed => {
+                GiveUp::overloaded(refused.retry_after)
+            }
+            RefusalReason::CrashesEndpoints => GiveUp::crashes_endpoints(refused.retry_after),
         }),
     }
 }
 
+/// Waits for a slot until the deadline and records the wait.
 async fn acquire<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Work,
-    want: Want,
+    request: &RoutedRequest,
+    slot_request: SlotRequest,
 ) -> Result<D::Slot, Refused> {
-    let since = Instant::now();
-    let slot = clock::timeout_at(work.deadline, acquire_open(cx, want)).await;
-    work.waited(since.elapsed());
-    cx.metrics.slot_wait.observe(since.elapsed().as_secs_f64());
+    let started = Instant::now();
+    let slot = clock::timeout_at(request.deadline, acquire_skipping_closed(cx, slot_request)).await;
+    request.record_slot_wait(started.elapsed());
+    cx.metrics.slot_wait.observe(started.elapsed().as_secs_f64());
     slot.unwrap_or(Err(Refused::no_capacity(RETRY_AFTER_FAILURE)))
 }
 
-/// Asks again if the slot that is granted turns out to be at an endpoint that wants nothing from this node.
-pub(crate) async fn acquire_open<D: Dispatch>(
+/// Acquires a slot, and asks again if the granted slot belongs to an endpoint that currently
+/// accepts no requests from this node.
+pub(crate) async fn acquire_skipping_closed<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    mut want: Want,
+    mut slot_request: SlotRequest,
 ) -> Result<D::Slot, Refused> {
-    for _ in 0..MAX_CLOSED {
-        match cx.dispatch.acquire(want.clone()).await {
-            Err(Refused { why: Why::Closed, .. }) => want.send = want.send.again(),
-            settled => return settled,
+    for _ in 0..MAX_CLOSED_GRANTS {
+        match cx.dispatch.acquire(slot_request.clone()).await {
+            Err(Refused { reason: RefusalReason::Closed, .. }) => {
+                slot_request.send = slot_request.send.again()
+            }
+            result => return result,
         }
     }
     Err(Refused::no_capacity(RETRY_AFTER_FAILURE))
 }
 
-/// One send and, on routes that allow it, a second one beside it when the first is late.
-async fn hedged<D: Dispatch>(
+/// Sends once and, on routes that allow hedging, starts a second concurrent send when the first one
+/// takes longer than the hedge delay of its grant.
+async fn send_hedged<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     slot: D::Slot,
-    body: RequestOut,
+    body: RequestBody,
     progress: &mut Progress,
-) -> Sent {
+) -> SendResult {
     let grant = slot.grant().clone();
-    let may_hedge = work.route.hedge && progress.reached + 1 < work.route.max_sends;
-    let copy = match &body {
-        RequestOut::Held(it) if may_hedge => Some(it.clone()),
+    let may_hedge = request.route.hedge && progress.reached + 1 < request.route.max_sends;
+    let hedge_body = match &body {
+        RequestBody::Complete(it) if may_hedge => Some(it.clone()),
         _ => None,
     };
     progress.tried.push(grant.addr);
-    let race = Race::default();
-    let lane = match progress.reached {
-        0 => Lane::First(race.clone()),
-        _ => Lane::Further(race.clone()),
+    let race = HedgeRace::default();
+    let order = match progress.reached {
+        0 => SendOrder::First(race.clone()),
+        _ => SendOrder::Further(race.clone()),
     };
-    let mut first = pin!(attempt(cx, work, slot, body, lane));
-    let Some(copy) = copy else { return progress.count(first.await) };
-    let part = if grant.trial { TRIAL_HEDGE_PART } else { 1 };
-    let patience = grant.hedge_after / part;
-    if let Ok(sent) = timeout(patience, &mut first).await {
-        return progress.count(sent);
+    let mut first = pin!(send_once(cx, request, slot, body, order));
+    let Some(hedge_body) = hedge_body else { return progress.count_send(first.await) };
+    let divisor = if grant.trial { TRIAL_HEDGE_DIVISOR } else { 1 };
+    let hedge_delay = grant.hedge_after / divisor;
+    if let Ok(result) = timeout(hedge_delay, &mut first).await {
+        return progress.count_send(result);
     }
     progress.reached += 1;
-    let is_sent = AtomicBool::new(false);
-    let avoid = cx.paths.avoided(&progress.tried);
-    let mut second = pin!(second_send(cx, work, avoid, copy, &is_sent));
-    let (sent, hedge) = tokio::select! {
+    let hedge_sent = AtomicBool::new(false);
+    let avoid = cx.unreachable.to_avoid(&progress.tried);
+    let mut second = pin!(send_hedge(cx, request, avoid, hedge_body, &hedge_sent));
+    let (result, hedge) = tokio::select! {
         biased;
-        sent = &mut first => match sent {
-            Sent::Answer(_) => (sent, None),
-            _ if is_sent.load(Ordering::Relaxed) => (sent, second.await),
-            // The next send may wait for a slot, which a hedge may not.
-            _ => (sent, None),
+        result = &mut first => match result {
+            SendResult::Answer(_) => (result, None),
+            _ if hedge_sent.load(Ordering::Relaxed) => (result, second.await),
+            // The hedge was not sent yet. The next regular send may wait for a slot; a hedge may
+            // not.
+            _ => (result, None),
         },
         hedge = &mut second => match hedge {
-            Some(Sent::Answer(_)) => {
-                race.is_lost();
-                return hedge.unwrap_or(Sent::Unknown);
+            Some(SendResult::Answer(_)) => {
+                race.mark_lost();
+                return hedge.unwrap_or(SendResult::Unknown);
             }
             _ => (first.await, hedge),
         },
@@ -221,45 +247,49 @@
         progress.reached += 1;
     }
     match hedge {
-        Some(hedge @ Sent::Answer(_)) if !matches!(sent, Sent::Answer(_)) => hedge,
-        _ => sent,
+        Some(hedge @ SendResult::Answer(_)) if !matches!(result, SendResult::Answer(_)) => hedge,
+        _ => result,
     }
 }
 
 impl Progress {
-    /// Counts a send by whether an endpoint may have seen it.
-    fn count(&mut self, sent: Sent) -> Sent {
-        match sent {
-            Sent::Unreached(_) => self.unreached += 1,
+    /// Counts a send as reached or unreached and returns it.
+    fn count_send(&mut self, result: SendResult) -> SendResult {
+        match result {
+            SendResult::Unreached(_) => self.unreached += 1,
             _ => self.reached += 1,
         }
-        sent
+        result
     }
 }
 
-/// A hedge goes out only if a good endpoint is free; until the deadline it looks for one again and
-/// again.
-async fn second_send<D: Dispatch>(
+/// Sends the hedge. It needs a good endpoint with a free slot and polls for one until the deadline.
+/// Sets `hedge_sent` just before the send; returns `None` if the hedge was never sent.
+async fn send_hedge<D: Dispatch>(
     cx: &Arc<Cx<D>>,
-    work: &Arc<Work>,
+    request: &Arc<RoutedRequest>,
     avoid: Vec<SocketAddr>,
     body: Full<Bytes>,
-    is_sent: &AtomicBool,
-) -> Option<Sent> {
+    hedge_sent: &AtomicBool,
+) -> Option<SendResult> {
     let slot = loop {
-        let want = Want { send: SendKind::Further, wait: false, ..work.want(avoid.clone()) };
-        match acquire(cx, work, want).await {
+        let slot_request = SlotRequest {
+            send: SendKind::Further,
+            wait: false,
+            ..request.slot_request(avoid.clone())
+        };
+        match acquire(cx, request, slot_request).await {
             Ok(slot) => break slot,
-            Err(Refused { why: Why::CrashesEndpoints, .. }) => return None,
-            Err(_) if work.left() <= HEDGE_AGAIN => return None,
-            Err(_) => sleep(HEDGE_AGAIN).await,
+            Err(Refused { reason: RefusalReason::CrashesEndpoints, .. }) => return None,
+            Err(_) if request.left() <= HEDGE_RETRY_DELAY => return None,
+            Err(_) => sleep(HEDGE_RETRY_DELAY).await,
         }
     };
-    if !work.may_be_sent(cx) {
+    if !request.is_still_authorized(cx) {
         return None;
     }
-    is_sent.store(true, Ordering::Relaxed);
+    hedge_sent.store(true, Ordering::Relaxed);
     cx.metrics.hedges.inc();
-    let lane = Lane::Further(Race::default());
-    Some(attempt(cx, work, slot, RequestOut::Held(body), lane).await)
+    let order = SendOrder::Further(HedgeRace::default());
+    Some(send_once(cx, request, slot, RequestBody::Complete(body), order).await)
 }
--- a/crates/caller/src/tests.rs
+++ b/crates/caller/src/tests.rs
@@ -9,10 +9,10 @@
 use resources::Config;
 
 use crate::answer::GiveUp;
-use crate::attempt::kind_of;
-use crate::body::Received;
-use crate::content::request_key;
+use crate::attempt::answer_kind;
+use crate::body::ReceivedBody;
 use crate::headers::{HeaderNames, Span, deadline_of, host_of, strip_hop_by_hop};
+use crate::request_key::request_key;
 use crate::snapshot::Snapshot;
 
 fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
@@ -26,7 +26,7 @@
     HeaderNames {
         request_id: HeaderName::from_static("x-id"),
         deadline: HeaderName::from_static("x-left"),
-        wanted_endpoint: HeaderName::from_static("x-wanted"),
+        target_endpoint: HeaderName::from_static("x-wanted"),
         not_run: HeaderName::from_static("x-not-run"),
         rate_limit: HeaderName::from_static("x-limit"),
         leaving: HeaderName::from_static("x-leaving"),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn hop_by_hop_headers_end_here_and_so_do_those_that_connection_names() {
+fn hop_by_hop_headers_and_those_named_by_connection_are_removed() {
     let mut map = headers(&[
         ("connection", "close, x-private"),
         ("x-private", "1"),
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_trace_is_continued_and_a_broken_one_starts_anew() {
+fn a_valid_trace_is_continued_and_an_invalid_one_is_replaced() {
     let text = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
-    let span = Span::of(&headers(&[("traceparent", text)]));
+    let span = Span::from_headers(&headers(&[("traceparent", text)]));
     assert_eq!((span.trace, span.parent), (0x0af7651916cd43dd8448eb211c80319c, 0xb7ad6b7169203331));
     let child = span.child();
     assert_eq!((child.trace, child.parent), (span.trace, span.id));
-    for broken in ["", "00-1-2-01", "00-00000000000000000000000000000000-b7ad6b7169203331-01"] {
-        let span = Span::of(&headers(&[("traceparent", broken)]));
+    for invalid in ["", "00-1-2-01", "00-00000000000000000000000000000000-b7ad6b7169203331-01"] {
+        let span = Span::from_headers(&headers(&[("traceparent", invalid)]));
         assert_eq!(span.parent, 0);
         assert_ne!(span.trace, 0);
     }
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_is_given_up_says_whether_it_ran_and_when_to_come_back() {
+fn a_request_that_is_given_up_states_whether_it_ran_and_when_to_retry() {
     let retry_after = Duration::from_millis(1_200);
     check(GiveUp::overloaded(retry_after), expect!["503 not-run 1.200"]);
     check(GiveUp::not_run(retry_after), expect!["503 not-run 1.200"]);
@@ -115,15 +115,21 @@
     let route = snapshot.config.routes.iter().next().unwrap().clone();
     for _ in 0..50 {
         let to_b = (0..100).filter(|_| snapshot.pick_service(&route) == "b").count();
-        assert!((8..=12).contains(&to_b), "{to_b} of 100 went to the part of 10");
+        assert!((8..=12).contains(&to_b), "{to_b} of 100 went to the share of 10");
     }
 }
 
-/// An endpoint that stopped at a short deadline, and said so a moment before it, was taken for sick.
+/// An endpoint that answers 504 just before the deadline has stopped on time. Such answers must not
+/// count as failures, which would make a healthy endpoint look unhealthy on routes with short
+/// deadlines.
 #[test]
 fn the_end_of_the_deadline_is_no_fault_of_the_endpoint() {
     let check = |status, left_ms, expected| {
-        assert_eq!(kind_of(status, Duration::from_millis(left_ms)), expected, "{status} {left_ms}");
+        assert_eq!(
+            answer_kind(status, Duration::from_millis(left_ms)),
+            expected,
+            "{status} {left_ms}"
+        );
     };
     check(StatusCode::GATEWAY_TIMEOUT, 0, Kind::TimedOut);
     check(StatusCode::GATEWAY_TIMEOUT, 1, Kind::TimedOut);
@@ -139,18 +145,21 @@
     pairs: &[(&'static str, &'static str)],
     body: &'static str,
 ) -> RequestKey {
-    let body = Received::Whole(Bytes::from_static(body.as_bytes()), crate::room::Taken::default());
+    let body = ReceivedBody::Complete(
+        Bytes::from_static(body.as_bytes()),
+        crate::body_memory::Reservation::default(),
+    );
     request_key(&names(), &method.parse().unwrap(), &uri.parse().unwrap(), &headers(pairs), &body)
 }
 
 #[test]
-fn requests_are_the_same_by_what_an_endpoint_makes_of_them() {
+fn requests_that_an_endpoint_treats_alike_have_the_same_key() {
     let usual = [("host", "h"), ("x-organisation", "o"), ("x-request-id", "1")];
     let it = key("POST", "/x?a=1", &usual, "body");
     let again = [("host", "h"), ("x-organisation", "o"), ("x-request-id", "2")];
-    assert_eq!(it, key("POST", "/x?a=1", &again, "body"), "it comes again");
+    assert_eq!(it, key("POST", "/x?a=1", &again, "body"), "the same request again");
     let elsewhere = [("host", "H:8080"), usual[1], usual[2]];
-    assert_eq!(it, key("POST", "/x?a=1", &elsewhere, "body"), "at another node");
+    assert_eq!(it, key("POST", "/x?a=1", &elsewhere, "body"), "the same request at another node");
     let others = [
         key("PUT", "/x?a=1", &usual, "body"),
         key("POST", "/x?a=2", &usual, "body"),
@@ -163,16 +172,17 @@
 }
 
 #[test]
-fn room_for_long_bodies_is_bounded_and_given_back() {
+fn memory_for_long_bodies_is_bounded_and_released() {
     let used = prometheus::IntGauge::new("used", "Bytes.").unwrap();
-    let room = crate::room::BodyRoom::new(256 * 1024, used.clone());
-    let (mut one, mut other) = <(crate::room::Taken, crate::room::Taken)>::default();
-    assert!(room.grow(&mut one, 100_000) && room.grow(&mut one, 200_000));
-    assert!(room.grow(&mut one, 150_000), "it has room for that");
-    assert!(!room.grow(&mut other, 100_000));
+    let body_memory = crate::body_memory::BodyMemory::new(256 * 1024, used.clone());
+    let (mut one, mut other) =
+        <(crate::body_memory::Reservation, crate::body_memory::Reservation)>::default();
+    assert!(body_memory.grow(&mut one, 100_000) && body_memory.grow(&mut one, 200_000));
+    assert!(body_memory.grow(&mut one, 150_000), "the reservation is already large enough");
+    assert!(!body_memory.grow(&mut other, 100_000));
     assert_eq!(used.get(), 13 * 16 * 1024);
     drop(one);
-    assert!(room.grow(&mut other, 256 * 1024));
+    assert!(body_memory.grow(&mut other, 256 * 1024));
     drop(other);
     assert_eq!(used.get(), 0);
 }
--- a/crates/caller/src/tests/identity.rs
+++ b/crates/caller/src/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, by what its caller shows.
+//! Identification of callers by their keys or organisation headers.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use resources::{Access, Callers, Config, Document};
@@ -28,27 +28,27 @@
     map
 }
 
-/// The organisation of a request, or why it is turned away, and what the endpoint is told.
+/// Checks the organisation of a request, or why it is rejected, and the headers for the endpoint.
 fn check(
     config: &Config,
     path: &str,
-    shown: &[(&'static str, &[u8])],
+    presented: &[(&'static str, &[u8])],
     expected: Result<&str, Denied>,
 ) {
     let route = config.routes.find("", path, "GET").unwrap();
-    let headers = headers(shown);
-    let caller = Caller::of(&config.callers, route, &names(), &headers);
-    assert_eq!(caller.as_ref().map(Caller::name).map_err(|it| *it), expected, "{shown:?}");
+    let headers = headers(presented);
+    let caller = Caller::identify(&config.callers, route, &names(), &headers);
+    assert_eq!(caller.as_ref().map(Caller::name).map_err(|it| *it), expected, "{presented:?}");
     let Ok(caller) = caller else { return };
     let mut out = headers;
-    caller.introduce(&config.callers, &names(), &mut out);
-    let told = out.get("x-organisation").map(|it| it.to_str().unwrap());
-    assert_eq!(told.unwrap_or(""), expected.unwrap(), "{shown:?}");
-    assert!(!out.contains_key("x-key"), "{shown:?}");
+    caller.set_headers(&config.callers, &names(), &mut out);
+    let sent = out.get("x-organisation").map(|it| it.to_str().unwrap());
+    assert_eq!(sent.unwrap_or(""), expected.unwrap(), "{presented:?}");
+    assert!(!out.contains_key("x-key"), "{presented:?}");
 }
 
 #[test]
-fn keys_are_needed_but_on_public_routes() {
+fn keys_are_required_except_on_public_routes() {
     let config = config(Access::Keys);
     let forged: (&'static str, &[u8]) = ("x-organisation", b"b");
     check(&config, "/c", &[("x-key", b"key-a"), forged], Ok("a"));
@@ -58,27 +58,27 @@
     check(&config, "/c", &[("x-key", b"key-a"), ("x-key", b"key-a")], Err(Denied::SeveralKeys));
     check(&config, "/c", &[("x-key", &[b'k'; 8_192])], Err(Denied::Malformed));
     check(&config, "/c", &[("x-key", b"k\xc3\xa9y")], Err(Denied::Malformed));
-    // On a public route a key that is held still says whose the request is.
+    // On a public route a valid key still identifies the caller.
     check(&config, "/o", &[forged], Ok(""));
     check(&config, "/o", &[("x-key", b"key-b")], Ok(""));
     check(&config, "/o", &[("x-key", b"key-a")], Ok("a"));
 }
 
 #[test]
-fn where_access_is_open_callers_say_who_they_are() {
+fn with_open_access_callers_are_identified_by_the_organisation_header() {
     let config = config(Access::Open);
     check(&config, "/c", &[("x-organisation", b"a")], Ok("a"));
     check(&config, "/c", &[], Ok(""));
 }
 
 #[test]
-fn what_an_organisation_says_goes_before_the_route() {
+fn settings_of_the_organisation_take_precedence_over_the_route() {
     let config = config(Access::Keys);
     let route = config.routes.find("", "/c", "GET").unwrap();
     let headers = headers(&[("x-key", b"key-a")]);
-    let caller = Caller::of(&config.callers, route, &names(), &headers).unwrap();
+    let caller = Caller::identify(&config.callers, route, &names(), &headers).unwrap();
     assert_eq!((caller.weight(), caller.is_limited()), (3, true));
     assert_eq!(caller.priority(), Some(resources::Priority(0)));
-    assert!(caller.is_known_to(&config.callers));
-    assert!(!caller.is_known_to(&Callers::default()), "its key was taken away");
+    assert!(caller.is_still_valid(&config.callers));
+    assert!(!caller.is_still_valid(&Callers::default()), "the key was revoked");
 }
--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -1,5 +1,5 @@
-//! Log records of the request path: one line for each request, at debug level one for each send.
-//! Values are formatted only if the record is logged.
+//! Log records of the request path: one line per request, and one per send (at debug level for
+//! sends that were answered). Values are formatted only if the record is logged.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 
 use crate::answer::GiveUp;
 use crate::cx::Cx;
-use crate::headers::{BadNumber, HeaderNames, Span};
-use crate::work::Work;
+use crate::headers::{HeaderNames, InvalidNumber, Span};
+use crate::routed_request::RoutedRequest;
 
-/// Logs a request that has ended, at warning level if it failed.
+/// Logs a request that has ended, at warning level after a server error.
 pub(crate) fn request(
     log: &Logger,
     names: &HeaderNames,
-    work: &Work,
+    request: &RoutedRequest,
     outcome: &'static str,
     status: StatusCode,
     elapsed: Duration,
@@ -25,55 +25,63 @@
     macro_rules! record {
         ($level:ident) => {
             $level!(log, "request";
-                "request_id" => work.request_id(names), "config" => work.snapshot.config.version,
-                "trace" => %Hex128(work.span.trace), "route" => work.route.name.as_str(),
-                "service" => work.service.as_str(), "organisation" => work.caller.name(),
-                "slot_ms" => work.slot_ms(),
+                "request_id" => request.request_id(names),
+                "config" => request.snapshot.config.version,
+                "trace" => %Hex128(request.span.trace), "route" => request.route.name.as_str(),
+                "service" => request.service.as_str(), "organisation" => request.caller.name(),
+                "slot_ms" => request.slot_ms(),
                 "outcome" => outcome, "status" => status.as_u16(),
                 "ms" => elapsed.as_millis() as u64)
         };
     }
-    // The severity decides what is left out when there are too many lines: failures last.
+    // If the limit of log lines is exceeded, lines of low severity are dropped first.
     match status.is_server_error() {
         true => record!(warn),
         false => record!(info),
     }
 }
 
-/// Logs a request that is refused before it is sent.
+/// Logs a request that is refused before any send.
 pub(crate) fn refused(
     log: &Logger,
     id: Option<&HeaderValue>,
     version: u64,
     status: StatusCode,
-    why: &'static str,
+    reason: &'static str,
 ) {
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or("(none)");
     warn!(log, "request refused";
-        "request_id" => id, "config" => version, "status" => status.as_u16(), "reason" => why);
+        "request_id" => id, "config" => version, "status" => status.as_u16(), "reason" => reason);
 }
 
-/// One send that has ended.
-pub(crate) struct Send<'a> {
+/// A send that has ended.
+pub(crate) struct SendRecord<'a> {
     pub(crate) span: &'a Span,
     pub(crate) endpoint: &'a str,
     pub(crate) slot_by: &'static str,
     pub(crate) tier: Tier,
-    pub(crate) doubt: Doubt,
+    pub(crate) health: Doubt,
     pub(crate) outcome: &'static str,
     pub(crate) elapsed: Duration,
 }
 
-/// Logs one send; one that was answered only at debug level, since its request is logged too.
-pub(crate) fn send(log: &Logger, names: &HeaderNames, work: &Work, it: &Send<'_>) {
+/// Logs a send. A send that was answered is logged only at debug level, because its request is
+/// logged as well.
+pub(crate) fn send(
+    log: &Logger,
+    names: &HeaderNames,
+    request: &RoutedRequest,
+    it: &SendRecord<'_>,
+) {
     macro_rules! record {
         ($level:ident) => {
             $level!(log, "send";
-                "request_id" => work.request_id(names), "endpoint" => it.endpoint,
-                "content" => %Hex64(work.key.0), "outcome" => it.outcome, "slot_by" => it.slot_by,
-                "choice" => it.tier.name(), "sick" => f64::from(it.doubt.sick_permille) / 1e3,
-                "evidence_ms" => it.doubt.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
-                "left_ms" => work.left().as_millis() as u64, "span" => %Hex64(it.span.id),
+                "request_id" => request.request_id(names), "endpoint" => it.endpoint,
+                "content" => %Hex64(request.key.0), "outcome" => it.outcome,
+                "slot_by" => it.slot_by, "choice" => it.tier.name(),
+                "sick" => f64::from(it.health.sick_permille) / 1e3,
+                "evidence_ms" => it.health.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
+                "left_ms" => request.left().as_millis() as u64, "span" => %Hex64(it.span.id),
                 "parent" => %Hex64(it.span.parent))
         };
     }
@@ -83,35 +91,37 @@
     }
 }
 
-/// Logs a part of an answer that cannot be read.
-pub(crate) fn bad_answer(log: &Logger, endpoint: &str, error: &BadNumber) {
-    warn!(log, "answer unreadable in part"; "endpoint" => endpoint, "error" => %error);
+/// Logs an invalid header of an answer.
+pub(crate) fn invalid_header(log: &Logger, endpoint: &str, error: &InvalidNumber) {
+    warn!(log, "invalid header in an answer"; "endpoint" => endpoint, "error" => %error);
 }
 
-/// Logs that a long answer goes on from another endpoint.
-pub(crate) fn continued<D>(cx: &Cx<D>, work: &Work, endpoint: &str, sent: u64) {
-    info!(cx.log, "download continued"; "request_id" => work.request_id(&cx.names),
+/// Logs that a download was resumed on another endpoint.
+pub(crate) fn resumed<D>(cx: &Cx<D>, request: &RoutedRequest, endpoint: &str, sent: u64) {
+    info!(cx.log, "download resumed"; "request_id" => request.request_id(&cx.names),
         "endpoint" => endpoint, "sent_bytes" => sent);
 }
 
-/// Logs that a long answer ends before it is whole, which the caller sees.
+/// Logs that a download was aborted before it was complete. The caller sees the truncation.
 pub(crate) fn broken_off<D>(
     cx: &Cx<D>,
-    work: &Work,
+    request: &RoutedRequest,
     endpoint: &str,
     sent: u64,
     reason: &'static str,
 ) {
-    warn!(cx.log, "download broken off"; "request_id" => work.request_id(&cx.names),
+    warn!(cx.log, "download broken off"; "request_id" => request.request_id(&cx.names),
         "endpoint" => endpoint, "sent_bytes" => sent, "reason" => reason);
 }
 
 /// Logs why a request is given up.
-pub(crate) fn give_up(log: &Logger, names: &HeaderNames, work: &Work, why: GiveUp) {
-    warn!(log, "request given up"; "request_id" => work.request_id(names), "reason" => why.reason,
-        "outcome" => why.outcome(), "left_ms" => work.left().as_millis() as u64);
+pub(crate) fn give_up(log: &Logger, names: &HeaderNames, request: &RoutedRequest, give_up: GiveUp) {
+    warn!(log, "request given up"; "request_id" => request.request_id(names),
+        "reason" => give_up.reason, "outcome" => give_up.outcome(),
+        "left_ms" => request.left().as_millis() as u64);
 }
 
+/// Formats an ID with 16 hexadecimal digits.
 struct Hex64(u64);
 
 impl fmt::Display for Hex64 {
@@ -120,6 +130,7 @@
     }
 }
 
+/// Formats an ID with 32 hexadecimal digits.
 struct Hex128(u128);
 
 impl fmt::Display for Hex128 {
--- a/crates/caller/tests/suspended.rs
+++ b/crates/caller/tests/suspended.rs
@@ -1,22 +1,22 @@
-//! A request whose time passed while the machine was suspended is not sent.
+//! A request whose deadline passed while the VM was suspended is not sent.
 
-mod bed;
+mod common;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use caller::{Admission, Dispatch, Refused, Slot, Want};
+use caller::{Admission, Dispatch, Refused, Slot, SlotRequest};
 use policy::{Grant, Kind, Notice};
 use resources::{Name, Route};
 use tokio::net::TcpListener;
 
-/// Grants a slot after a suspension of the machine that is longer than any caller waits.
+/// Grants a slot after a simulated suspension of the VM that is longer than any deadline.
 #[derive(Clone)]
-struct Suspended(Grant);
+struct SuspendingDispatch(Grant);
 
-struct Granted(Grant);
+struct GrantedSlot(Grant);
 
-impl Slot for Granted {
+impl Slot for GrantedSlot {
     fn grant(&self) -> &Grant {
         &self.0
     }
@@ -25,39 +25,39 @@
         "test"
     }
 
-    fn stalled(&mut self, _: Duration) {}
+    fn report_stall(&mut self, _: Duration) {}
 
-    fn answer_began(&mut self, _: Duration) {}
+    fn report_answer_start(&mut self, _: Duration) {}
 
-    fn noticed(&mut self, _: Notice) {}
+    fn report_notice(&mut self, _: Notice) {}
 
     fn end(self, _: Kind, _: Duration) {}
 }
 
-impl Dispatch for Suspended {
-    type Slot = Granted;
+impl Dispatch for SuspendingDispatch {
+    type Slot = GrantedSlot;
 
-    fn unserved(&self, _: &Arc<Route>, _: &Name) {}
+    fn record_unserved(&self, _: &Arc<Route>, _: &Name) {}
 
-    fn refused(&self, _: &Arc<Route>) {}
+    fn record_refused(&self, _: &Arc<Route>) {}
 
     async fn admit(&self, _: u64) -> Admission {
         Admission::Granted
     }
 
-    async fn acquire(&self, _: Want) -> Result<Granted, Refused> {
+    async fn acquire(&self, _: SlotRequest) -> Result<GrantedSlot, Refused> {
         clock::suspend(Duration::from_secs(60));
-        Ok(Granted(self.0.clone()))
+        Ok(GrantedSlot(self.0.clone()))
     }
 }
 
 #[tokio::test]
-async fn what_waited_through_a_suspension_is_refused_and_not_sent() {
+async fn a_request_that_waited_through_a_suspension_is_refused_and_not_sent() {
     let endpoint = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let grant = bed::grant(endpoint.local_addr().unwrap());
+    let grant = common::grant(endpoint.local_addr().unwrap());
     let answer = tokio::select! {
-        it = bed::request(Suspended(grant)) => it,
-        _ = endpoint.accept() => panic!("it is sent after its time"),
+        it = common::request(SuspendingDispatch(grant)) => it,
+        _ = endpoint.accept() => panic!("the request was sent after its deadline"),
     };
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("not-run"), "{answer}");
--- a/crates/dappleway/src/baselines.rs
+++ b/crates/dappleway/src/baselines.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use caller::{Admission, Dispatch, Refused, Slot, Want};
+use caller::{Admission, Dispatch, Refused, Slot, SlotRequest};
 use policy::{Grant, Kind, Notice, Tier};
 use resources::{Endpoint, Name, Service};
 use rustc_hash::FxHashMap;
@@ -55,17 +55,17 @@
     type Slot = RoundRobinSlot;
 
     /// It judges each endpoint by its own answers alone.
-    fn unserved(&self, _route: &Arc<resources::Route>, _service: &Name) {}
+    fn record_unserved(&self, _route: &Arc<resources::Route>, _service: &Name) {}
 
     /// It judges each endpoint by its own answers alone.
-    fn refused(&self, _route: &Arc<resources::Route>) {}
+    fn record_refused(&self, _route: &Arc<resources::Route>) {}
 
     /// It knows no allowances.
     async fn admit(&self, _organisation: u64) -> Admission {
         Admission::Granted
     }
 
-    async fn acquire(&self, want: Want) -> Result<RoundRobinSlot, Refused> {
+    async fn acquire(&self, want: SlotRequest) -> Result<RoundRobinSlot, Refused> {
         let services = self.services.borrow().clone();
         let found = services.iter().find(|it| it.name == want.service && !it.endpoints.is_empty());
         let Some(service) = found else { return Err(Refused::no_capacity(OUT)) };
@@ -134,11 +134,11 @@
         "baseline"
     }
 
-    fn stalled(&mut self, _elapsed: Duration) {}
+    fn report_stall(&mut self, _elapsed: Duration) {}
 
-    fn answer_began(&mut self, _elapsed: Duration) {}
+    fn report_answer_start(&mut self, _elapsed: Duration) {}
 
-    fn noticed(&mut self, _notice: Notice) {}
+    fn report_notice(&mut self, _notice: Notice) {}
 
     fn end(self, kind: Kind, elapsed: Duration) {
         if !self.dispatch.ejects || kind == Kind::Shed {
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use caller::{Refused, Want, Why};
+use caller::{RefusalReason, Refused, SlotRequest};
 use fleet::{Action, Directory, PermitMessage, Place, Settlement, Wish};
 use policy::{
     Ask, Grant, Kind, NodeId, Notice, Observation, PermitId, Places, Reply, Settled, Time,
@@ -35,7 +35,7 @@
         &mut self,
         now: Time,
         id: PermitId,
-        want: &Want,
+        want: &SlotRequest,
         tx: oneshot::Sender<Result<(Grant, Place), Refused>>,
     ) {
         let service = name_hash(&want.service);
@@ -49,7 +49,7 @@
             rejected.or_else(|| state.dispatcher().rejected(now, want.request))
         {
             // The caller may have left.
-            let _ = tx.send(Err(Refused { retry_after, why: Why::CrashesEndpoints }));
+            let _ = tx.send(Err(Refused { retry_after, reason: RefusalReason::CrashesEndpoints }));
             return;
         }
         let ask = Ask {
@@ -86,7 +86,7 @@
     }
 
     /// Where a request may go.
-    fn places_of(&self, want: &Want) -> Option<Box<Places>> {
+    fn places_of(&self, want: &SlotRequest) -> Option<Box<Places>> {
         let only = want.regions.as_ref().map(|it| self.topology.domains_in(it));
         Places { evacuated: self.evacuated.clone(), only }.boxed()
     }
@@ -105,7 +105,10 @@
             }
             Action::Settle(id, Settlement::Rejected(retry_after)) => {
                 if let Some(it) = self.waiting.remove(&id) {
-                    let _ = it.tx.send(Err(Refused { retry_after, why: Why::CrashesEndpoints }));
+                    let _ = it.tx.send(Err(Refused {
+                        retry_after,
+                        reason: RefusalReason::CrashesEndpoints,
+                    }));
                 }
             }
         }
--- a/crates/dappleway/src/handle.rs
+++ b/crates/dappleway/src/handle.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use caller::{Admission, Dispatch, Refused, Slot, Want};
+use caller::{Admission, Dispatch, Refused, Slot, SlotRequest};
 use fleet::Place;
 use policy::{Grant, Kind, NodeId, Notice, PermitId};
 use resources::{Name, Route};
@@ -35,11 +35,11 @@
 impl Dispatch for Handle {
     type Slot = HandleSlot;
 
-    fn unserved(&self, route: &Arc<Route>, service: &Name) {
+    fn record_unserved(&self, route: &Arc<Route>, service: &Name) {
         self.send(Command::Unserved(route.clone(), service.clone()));
     }
 
-    fn refused(&self, route: &Arc<Route>) {
+    fn record_refused(&self, route: &Arc<Route>) {
         self.send(Command::RefusedOnRoute(route.clone()));
     }
 
@@ -49,7 +49,7 @@
         rx.await.unwrap_or(Admission::Unknown)
     }
 
-    async fn acquire(&self, want: Want) -> Result<HandleSlot, Refused> {
+    async fn acquire(&self, want: SlotRequest) -> Result<HandleSlot, Refused> {
         let id = PermitId { node: self.node, seq: self.next.fetch_add(1, Ordering::Relaxed) };
         let (tx, rx) = oneshot::channel();
         let mut wish = PendingWish { handle: self, id, settled: false };
@@ -103,15 +103,15 @@
         }
     }
 
-    fn stalled(&mut self, elapsed: Duration) {
+    fn report_stall(&mut self, elapsed: Duration) {
         self.handle.send(Command::Stalled(self.id, elapsed));
     }
 
-    fn answer_began(&mut self, elapsed: Duration) {
+    fn report_answer_start(&mut self, elapsed: Duration) {
         self.handle.send(Command::AnswerBegan(self.id, elapsed));
     }
 
-    fn noticed(&mut self, notice: Notice) {
+    fn report_notice(&mut self, notice: Notice) {
         self.handle.send(Command::Noticed(self.id, notice));
     }
 
