--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -1,9 +1,9 @@
-//! Hands out the slots of a service's endpoints: one permit is one request on one endpoint.
+//! Grants slots on the endpoints of a service: one permit allows one request on one endpoint.
 //!
-//! The same machine serves two ways of dispatch. A node that dispatches for itself alone counts its
-//! own requests. A node that dispatches a service for the fleet counts the requests of every node
-//! that asks it. A permit is advice about capacity; no guarantee to callers rests on it, so lost,
-//! late and doubled permits do no harm.
+//! The same type serves both modes of dispatch. A node that dispatches only for itself counts its
+//! own requests; a node that dispatches a service for the fleet counts the requests of every node
+//! that asks for slots. Permits only guide capacity use. No guarantee to callers depends on them,
+//! so lost, late and duplicate permits are harmless.
 
 mod choice;
 mod congestion;
@@ -48,66 +48,70 @@
 pub use counts::{DispatchCounts, IdleEndpoint, Occupancy};
 pub use evidence::EvidenceReport;
 
-/// A permit that is neither released nor renewed for this long is taken back.
+/// A permit that is neither released nor renewed for this long expires.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(3);
-/// The same for one whose answer has begun. It holds no slot, and how it ends is worth knowing: that word may come late.
+/// Lifetime of a permit whose answer has begun. Such a permit holds no slot, and the outcome of its
+/// request is still useful evidence that may arrive late, so it lives longer.
 const ANSWERED_LIFETIME: Duration = Duration::from_secs(6);
-/// For how long a permit that came back is remembered: longer than a copy of its ask travels. Whoever has withdrawn a wish
-/// here passes this node over for longer.
+/// How long the id of an ended permit is kept, to recognise late copies of its ask. Longer than
+/// such a copy is in transit, and shorter than the time for which an asker avoids a node after
+/// withdrawing an ask there.
 const REMEMBER_ENDED: Duration = Duration::from_millis(800);
-/// An endpoint that shed a request is taken for full for this long, about the time in which one of a few
-/// slots comes free.
+/// An endpoint that shed a request is treated as full for this long, about the time until one of a
+/// few slots comes free.
 const FULL_FOR: Duration = Duration::from_millis(100);
-/// A dispatcher that has handed out nothing for this long has been replaced by another one.
+/// A dispatcher that has granted nothing for this long is assumed to have been replaced by another
+/// node's dispatcher.
 const IN_CHARGE_FOR: Duration = Duration::from_secs(1);
-/// Weight of a new sample in the mean time that a slot is held.
+/// Weight of a new sample in the moving average of the slot hold time.
 const HOLD_GAIN: f64 = 0.05;
-/// Mean hold time before any sample.
+/// Mean slot hold time assumed before the first sample.
 const FIRST_HOLD: Duration = Duration::from_millis(100);
 
-/// Shortest time after which a refused caller is asked to come back.
+/// Shortest `retry_after` given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Which part a dispatcher has in handing out the slots of its service.
+/// Whether other dispatchers may grant the same slots at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// Its node is the first choice of all that ask.
+    /// The node of this dispatcher ranks first for all nodes that ask for slots.
     First,
-    /// It is asked by those that do not reach the first choice, or picks for its own node alone. Others may do the same
-    /// unseen.
+    /// The dispatcher serves nodes that cannot reach the first choice, or only its own node. Other
+    /// dispatchers may grant the same slots without its knowledge.
     OneOfMany,
 }
 
-/// A slot in use.
+/// A granted permit whose request has not ended.
 #[derive(Clone, Debug)]
 struct Permit {
     endpoint: usize,
     route: u32,
     request: RequestKey,
     reporter: Reporter,
-    /// Time within which an answer is worth most to the caller.
+    /// Latency objective: an answer within this time is worth most to the caller.
     objective: Duration,
     grant: Grant,
     granted: Time,
     expires: Time,
-    /// If it fails, the caller gets the failure.
+    /// No further send follows this one: if it fails, the caller gets the failure.
     is_last_send: bool,
-    /// Another send of the request was before it.
+    /// The request was sent to an endpoint before.
     is_further: bool,
     told: Told,
-    /// Whether answers that travel make its endpoint look full.
+    /// Whether the endpoint had room for this send only because answers in transit hold no slot.
     sent: Sent,
 }
 
-/// What was told of a request while it was open.
+/// What has been reported of a request while it was open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Told {
+    /// Nothing so far.
     Nothing,
-    /// A stall: for a verdict, what follows is the same evidence again.
+    /// A stall. Outlier detection has counted the silence; the outcome must not count again.
     Stalled,
-    /// Its answer has begun: a whole one is the same evidence again.
+    /// The answer has begun and was counted; its completion must not count again.
     AnswerBegan,
-    /// Its answer has begun and then stopped moving.
+    /// The answer has begun and then stalled.
     AnswerStalled,
 }
 
@@ -129,64 +133,70 @@
     }
 }
 
-/// Slots and verdicts of one service on one node.
+/// Slots, health estimates and verdicts of one service on one node.
 #[derive(Debug)]
 pub struct Dispatcher {
     judge: Judge,
     signs: Signs,
-    /// When the signs were last refreshed.
+    /// Time of the last refresh of `likelihoods`.
     refreshed: Time,
-    /// In the order of the rotation.
+    /// Same order as the endpoints of the rotation.
     loads: Vec<Load>,
+    /// Advertisements of endpoints whose registry entry is gone.
     remembered: Remembered,
     permits: FxHashMap<PermitId, Permit>,
-    /// Permits that came back or were withdrawn lately. An ask for one is a late copy: granted, its slot would be held
-    /// until the permit expires.
+    /// Permits that ended or were withdrawn recently. An ask for one of them is a late copy; if it
+    /// were granted, its slot would stay in use until the permit expires.
     ended: FxHashMap<PermitId, Time>,
     queue: Queue<Ask>,
-    /// When those that wait were last looked at.
+    /// Time of the last attempt to serve the queue.
     drained: Time,
+    /// Moving average of the time for which a slot is held.
     mean_hold: Duration,
     congestion: Congestion,
     budget: Budget,
-    /// Repeats refused when that was last told.
+    /// Total of refused repeats at the last call of `newly_refused`.
     refused_before: u64,
+    /// Outcomes of the service's requests, from which `pressure` is derived.
     served: Served,
+    /// Requests during which endpoints have crashed.
     suspects: Suspects,
-    /// A request that waits may have come to be rejected.
+    /// Whether queued requests may have been rejected since the queue was last checked.
     has_rejected: bool,
     overlap: Overlap,
+    /// Time of the last grant.
     counts: DispatchCounts,
     granted_at: Option<Time>,
-    /// Whether so much fails that endpoints are tried again sooner; as of the last choice.
+    /// Whether so many requests fail that endpoints are tried again sooner, as of the last choice.
     strain: Strain,
-    /// Time without work after which an endpoint is due, and when that was worked out.
+    /// Idle time after which an endpoint is due for a probe request, and when this value was
+    /// computed.
     due_after: (Duration, Time),
     working_set: WorkingSet,
-    /// Sends to all endpoints.
+    /// Rate of sends to all endpoints together.
     rate: Rate,
-    /// Requests of a route that go to other services for each one that comes here; routes that lead to this service
-    /// alone are left out.
+    /// By route: the number of its requests that go to other services for each one that comes to
+    /// this service. Routes that lead only here have no entry.
     elsewhere: FxHashMap<u32, f64>,
-    /// The share of the endpoints that the floor wants in use.
+    /// Share of the endpoints that the floor requires to be in use.
     floor_share: f64,
     topology: Topology,
-    /// Hash of the region of this node, if that is known.
+    /// Hash of this node's region, if known.
     region: Option<u64>,
-    /// What a cold endpoint bears, if its service says so.
+    /// Request rate that a cold endpoint can take, if the service configures one.
     cold_rate: Option<RateLimit>,
-    /// Time for which an endpoint is cold after its start.
+    /// How long an endpoint stays cold after its start.
     warm_up: Duration,
     precedence: Precedence,
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet, this one included.
     nodes: usize,
-    /// So little of the budget is left that a send that fails may not be followed by another; as of
-    /// the last choice.
+    /// Whether the repeat budget is so low that a failed send may have no successor, as of the last
+    /// choice.
     is_budget_short: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher for `service`. `routes` lead to it.
+    /// Creates a dispatcher for `service`. `routes` are the routes that lead to it.
     pub fn new(now: Time, service: &Service, routes: &[RouteTerms], budget: BudgetLimits) -> Self {
         let mut it = Self {
             judge: Judge::new(now, service, routes),
@@ -227,14 +237,15 @@
         it
     }
 
-    /// Tells which failure domain is in which region, and in which one this node is.
+    /// Sets the regions of the failure domains and this node's own failure domain.
     pub fn set_topology(&mut self, topology: Topology, own_failure_domain: u64) {
         self.topology = topology;
         self.region = self.topology.region_of(own_failure_domain);
         self.locate();
     }
 
-    /// Whether an endpoint is in another region than this node, where other nodes hand out its slots first.
+    /// Whether an endpoint is in another region than this node. Nodes of that region come first in
+    /// granting its slots.
     fn is_elsewhere(&self, load: &Load) -> bool {
         matches!((load.region, self.region), (Some(its), Some(own)) if its != own)
     }
@@ -245,18 +256,18 @@
         }
     }
 
-    /// Which part it has in handing out slots.
+    /// Whether other dispatchers may grant the same slots.
     pub fn precedence(&self) -> Precedence {
         self.precedence
     }
 
-    /// Follows a change of who hands out the slots of the service.
+    /// Applies a change of the nodes that grant the slots of the service.
     pub fn set_precedence(&mut self, precedence: Precedence) {
         self.precedence = precedence;
     }
 
-    /// Follows a new configuration or a change of the endpoints. Permits on endpoints that stay are
-    /// kept; those on one that has started again went with its life before.
+    /// Applies a new configuration or a change of the endpoints. Permits on endpoints that stay are
+    /// kept; permits on a restarted endpoint ended with its previous incarnation.
     pub fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
         let before = Lives::of(self.endpoints());
         self.judge.reconfigure(now, service, routes);
@@ -278,7 +289,7 @@
         self.locate();
         self.recall(now);
         self.chill(now);
-        // Where each endpoint stands now, by where it stood before.
+        // Maps old endpoint positions to new ones.
         let mut moved = vec![None; old.len()];
         for (i, it) in self.judge.rotation.endpoints().iter().enumerate() {
             if let Some(was) = before.position(it) {
@@ -325,7 +336,7 @@
             }
             SendKind::FirstAgain => {}
             SendKind::Further if self.budget.allows(now, Spend::of(&ask)) => {}
-            // A hedge that is refused leaves its request where it was.
+            // If a hedge is refused, the send that it accompanies goes on.
             SendKind::Further if !ask.wait => return Reply::Full,
             SendKind::Further => {
                 self.counts.repeats_refused += 1;
@@ -358,7 +369,7 @@
         self.enqueue(now, ask, slots)
     }
 
-    /// A good endpoint among the few that are looked at first, if the service has a working set.
+    /// Chooses a good endpoint among a few candidates, if the service uses a working set.
     fn choose_from_few(
         &mut self,
         now: Time,
@@ -372,8 +383,8 @@
         choice.filter(|(_, tier)| *tier < Tier::Last)
     }
 
-    /// Takes a slot back and learns from how the request ended. Returns replies for those that
-    /// waited for it.
+    /// Takes a slot back and learns from the outcome of its request. Returns replies for queued
+    /// requests that got a slot.
     pub fn release(
         &mut self,
         now: Time,
@@ -401,7 +412,8 @@
         self.drain(now, rng)
     }
 
-    /// Gives a slot back without learning anything from it, as when the caller has left.
+    /// Withdraws a queued ask, or takes a slot back without learning anything from its request, for
+    /// example when the caller has left.
     pub fn cancel(&mut self, now: Time, id: PermitId, rng: &mut impl Rng) -> Vec<Settled> {
         let withdrawn = self.queue.extract(|it| it.item.id == id);
         self.counts.withdrawn += withdrawn.len() as u32;
@@ -414,26 +426,26 @@
         self.drain(now, rng)
     }
 
-    /// Keeps a permit of a long request alive.
+    /// Extends the permit of a long request.
     pub fn renew(&mut self, now: Time, id: PermitId) {
         if let Some(permit) = self.permits.get_mut(&id) {
             permit.expires = permit.expires.max(now + PERMIT_LIFETIME);
         }
     }
 
-    /// Follows a change of the budget for repeats.
+    /// Applies a change of the repeat budget.
     pub fn set_budget(&mut self, now: Time, limits: BudgetLimits) {
         self.budget.set_limits(now, limits);
     }
 
-    /// Follows a change of the number of nodes in the fleet, this one included.
+    /// Applies a change of the number of nodes in the fleet, this one included.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes;
         self.budget.set_nodes(nodes);
     }
 
-    /// Moves what time alone moves and returns replies for those that waited. Costs next to nothing
-    /// while nothing happens: a node holds a dispatcher for every service.
+    /// Advances everything that depends on time alone and returns replies for queued requests.
+    /// Nearly free for an idle service, because a node has a dispatcher for every service.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
         let is_idle = self.permits.is_empty() && self.ended.is_empty() && self.queue.len() == 0;
         if is_idle && self.judge.is_idle() {
@@ -460,47 +472,47 @@
         settled
     }
 
-    /// Forgets evidence and what is past its deadline after a pause of this process.
+    /// After a pause of this process: forgets evidence, and ends what has expired in the meantime.
     pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
         self.judge.forget();
         self.tick(now, rng)
     }
 
-    /// The endpoints as this node sees them.
+    /// The endpoints and their states, as this node knows them.
     pub fn endpoints(&self) -> &[EndpointStatus] {
         self.judge.rotation.endpoints()
     }
 
-    /// The rotation, for the report.
+    /// The rotation, for reports.
     pub fn rotation(&self) -> &Rotation {
         &self.judge.rotation
     }
 
-    /// Path, shared and reporter faults recognised so far.
+    /// Numbers of path, shared and reporter faults recognised so far.
     pub fn faults_excused(&self) -> [u64; 3] {
         [self.judge.path_faults, self.judge.shared_faults, self.judge.reporter_faults]
     }
 
-    /// Whether it hands out slots. One that does not hears of failures only, and must not spread
-    /// what it makes of them.
+    /// Whether this dispatcher currently grants slots. One that does not receives only reports of
+    /// failures, so its conclusions must not be passed on to other nodes.
     pub fn is_in_charge(&self, now: Time) -> bool {
         self.granted_at.is_some_and(|it| now.since(it) < IN_CHARGE_FOR)
     }
 
-    /// Figures of the budget for repeats.
+    /// State of the repeat budget.
     pub fn repeats(&mut self, now: Time) -> RepeatsReport {
         self.budget.report(now)
     }
 
-    /// Figures of the budget for repeats if some were refused since the last call; `refused` counts these
-    /// alone.
+    /// State of the repeat budget if repeats were refused since the last call; `refused` counts
+    /// only these.
     pub fn newly_refused(&mut self, now: Time) -> Option<RepeatsReport> {
         let all = self.budget.refused();
         let refused = all - std::mem::replace(&mut self.refused_before, all);
         (refused > 0).then(|| RepeatsReport { refused, ..self.budget.report(now) })
     }
 
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -574,14 +586,15 @@
     Duration::from_millis(service.warm_up_ms.into())
 }
 
-/// Requests that go to other services for each one that comes here, by route.
+/// For each route that is split: the number of its requests that go to other services for each one
+/// that comes here.
 fn elsewhere(routes: &[RouteTerms]) -> FxHashMap<u32, f64> {
     let split = routes.iter().filter(|it| it.share > 0.0 && it.share < 1.0);
     split.map(|it| (it.id, 1.0 / it.share - 1.0)).collect()
 }
 
 impl Spend {
-    /// A hedge does not wait; what has failed does.
+    /// Only a hedge is asked for without waiting; any other further send follows a failure.
     fn of(ask: &Ask) -> Self {
         if ask.wait { Self::OnFailure } else { Self::OnHedge }
     }
