--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -1,4 +1,5 @@
-//! Which endpoint a request gets: tiers by what is believed of it, then slots in use and distance.
+//! Chooses the endpoint for a request: first by tier, which follows from its health estimate, then
+//! by slots in use and distance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,34 +15,38 @@
 use crate::topology::Distance;
 use resources::Priority;
 
-/// An endpoint is due so much sooner for requests of its own failure domain. They come soon where there are callers, and
-/// what passes between failure domains has a price.
+/// An endpoint becomes due for a probe this much sooner for requests from its own failure domain.
+/// Where there are callers such requests come soon, and traffic between failure domains is costly.
 const NEAR_FIRST: Duration = Duration::from_millis(100);
-/// Part of the objective that a send waits for a good endpoint if another one may follow: so little that a
-/// second send still fits.
+/// Share of the objective for which a send waits for a good endpoint if another send may follow.
+/// Small enough that a second send still fits in the objective.
 const FIRST_SEND_PATIENCE: f64 = 0.15;
-/// The same for the last send of a request. With all of the time left all requests would wait under load, and all of
-/// them would be late.
+/// Share of the objective for which the last send of a request waits. If sends waited for all of
+/// the remaining time, all requests would wait under load and all would be late.
 const LAST_SEND_PATIENCE: f64 = 0.5;
 
-/// Interval at which it is worked out who is due, while the service has slots to spare. In it a few endpoints
-/// at most come to be left alone for too long.
+/// How often `probe_after` is recomputed while the service has spare slots. Within this interval at
+/// most a few endpoints exceed the allowed idle time.
 const DUE_REFRESH: Duration = Duration::from_millis(50);
-/// An endpoint that is not known for longer may still be in trouble: the users count one as sound after eight
-/// seconds without any.
+/// Minimum age of an endpoint that counts as settled. The availability target counts an endpoint as
+/// healthy after eight seconds without trouble, so a younger one may still be in trouble.
 const SETTLED_AFTER: Duration = Duration::from_secs(8);
-/// The users count an endpoint as sound two seconds after its last failure, and look at two more.
+/// Time since the last failure after which an endpoint is reported as healthy. The availability
+/// target counts an endpoint as healthy two seconds after its last failure, and evaluates windows
+/// of two more seconds.
 pub(super) const SOUND_AFTER: Duration = Duration::from_secs(4);
 
-/// Steps by which endpoints count as equally likely to be sick.
+/// Number of steps to which the probability of being unhealthy is rounded down: endpoints in the same
+/// step rank equal.
 const DOUBT_STEPS: f64 = 50.0;
 
-/// What an endpoint of another failure domain counts for, in slots in use, when short answers are
-/// placed. Traffic between failure domains has a price; a busy slot costs more.
+/// Cost of an endpoint in another failure domain of the same region, in slots in use, for short
+/// answers. Traffic between failure domains is costly, but less so than a busy slot.
 const FAR_SLOTS: u32 = 2;
 
-/// What the way to an endpoint with so many slots counts for, in slots in use. From another region each answer takes tens
-/// of milliseconds longer, so that its endpoints are used when all others are full.
+/// Cost of the distance to an endpoint with `slots` slots, in slots in use. Answers from another
+/// region take tens of milliseconds longer, so its endpoints are used only when all others are
+/// full.
 fn way(distance: Distance, slots: u32) -> u32 {
     match distance {
         Distance::Near => 0,
@@ -50,65 +55,70 @@
     }
 }
 
-/// One endpoint at the moment of a choice.
+/// Snapshot of one endpoint for a choice.
 #[derive(Clone, Copy)]
 struct Look {
-    /// Its position.
+    /// Position in the rotation.
     i: usize,
     now: Time,
     strain: Strain,
     spread: Spread,
     addr: SocketAddr,
     state: State,
-    /// When it came to stand there.
+    /// When the endpoint entered `state`.
     since: Time,
     is_missing: bool,
     is_evacuated: bool,
-    /// Slots that its state allows.
+    /// Slots that the state allows.
     slots: u32,
     belief: Belief,
-    /// How much more likely the silence of what is open on it is if it is sick.
+    /// Likelihood ratio of the silence of its open requests, unhealthy against healthy.
     silence: f64,
+    /// Probability that the endpoint is unhealthy, given its outcomes and the silence of its open
+    /// requests.
     sick: f64,
-    /// Whether it had no work for so long that the next request is to show if it is well, by how far that comes from.
+    /// Whether the endpoint has been idle for so long that the next request should probe it, by the
+    /// distance from which that request comes.
     due: [Due; Distance::ALL.len()],
-    /// For how long it had no work.
+    /// Time since its last request, or since it became known if it had none.
     alone: Duration,
-    /// Slots that its rate limit keeps busy, if it names one.
+    /// Slots that sends at its rate limit keep busy, if it has a limit.
     paced_slots: Option<f64>,
-    /// Its rate limit allows a send now.
+    /// Whether its rate limit allows a send now.
     may_send: bool,
 }
 
-/// Whether an endpoint is due for the next request.
+/// Whether an idle endpoint is due for a probe. The probe is a real request of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Due {
-    /// For none.
+    /// Not due.
     Not,
-    /// For one that may be sent again. Rest spares those that may not; the others lose a repeat at most, and a rest
-    /// that is bounded by a part of all endpoints may be that of most of the few that the users count.
+    /// Due for repeatable requests only. Non-repeatable requests avoid idle endpoints, which may
+    /// still fail; repeatable ones lose a repeat at most. They probe early because the number of
+    /// idle endpoints is bounded by a share of all endpoints, which may be most of the few that the
+    /// availability target counts.
     ForRepeatable,
-    /// For any.
+    /// Due for any request.
     ForAny,
 }
 
-/// All endpoints and the queue at one moment, for all choices that are made then. How likely an endpoint is sick
-/// takes most of the time of a choice, and while requests wait there may be a choice for each of them: worked out
-/// anew each time, a node on a tenth of a core would fall behind for seconds.
+/// Snapshot of endpoints and of the queue, shared by all choices made at one moment. Most of the
+/// cost of a choice is the health estimate, and there may be a choice for each queued request: with
+/// estimates computed for every choice, a node with a tenth of a core falls behind by seconds.
 pub(super) struct Survey {
     now: Time,
     looks: Vec<Look>,
-    /// Requests that wait, by priority.
+    /// Number of queued requests, by priority.
     waiting: Vec<(Priority, usize)>,
 }
 
 impl Survey {
-    /// The moment of the look.
+    /// Time of the snapshot.
     pub(super) fn now(&self) -> Time {
         self.now
     }
 
-    /// Endpoints that were looked at.
+    /// Number of endpoints in the snapshot.
     pub(super) fn len(&self) -> usize {
         self.looks.len()
     }
@@ -118,14 +128,14 @@
         self.looks.iter().map(|it| it.paced(it.usable_slots())).sum()
     }
 
-    /// Requests that wait and would be served before one of this priority.
+    /// Number of queued requests that would be served before one of this priority.
     fn ahead_of(&self, priority: Priority) -> usize {
         self.waiting.iter().filter(|(it, _)| *it <= priority).map(|(_, n)| n).sum()
     }
 }
 
 impl Look {
-    /// Whether it is due for such a request.
+    /// Whether the endpoint is due for a probe by this request.
     fn is_due(&self, ask: &Ask, distance: Distance) -> bool {
         match self.due[distance as usize] {
             Due::Not => false,
@@ -134,8 +144,9 @@
         }
     }
 
-    /// Whether it is due, and the users may count it as idle. They count the endpoints of all failure domains alike, so that
-    /// it goes first wherever it is.
+    /// Whether the endpoint is due and has been idle so long that it counts against the floor. The
+    /// floor counts endpoints of all failure domains alike, so distance does not matter for a
+    /// starved endpoint.
     fn is_missed(&self, ask: &Ask, distance: Distance) -> bool {
         self.alone > MISSED_AFTER && self.is_due(ask, distance)
     }
@@ -147,17 +158,17 @@
         self.belief.usage_if(self.sick, self.now, self.strain)
     }
 
-    /// Whether an endpoint that is out of rotation is tried all the same, one request at a time,
-    /// because a part of the requests is not served.
+    /// Whether an ejected endpoint is tried nevertheless, with one request at a time, because a
+    /// part of the requests is not served.
     fn is_needed(&self) -> bool {
         let is_out = matches!(self.state, State::Ejected { .. })
             && !self.is_evacuated
             && self.now.since(self.since) > TRY_AGAIN;
-        // Sick endpoints fail at once: without a pause they would be tried again and again.
+        // Unhealthy endpoints fail at once; without a pause they would be tried again and again.
         is_out && self.strain == Strain::Unserved && self.belief.failed_before(self.now, TRY_AGAIN)
     }
 
-    /// Slots that may be used now: one while nothing proves that the endpoint is well again.
+    /// Slots that may be used now: one until there is evidence that the endpoint is healthy again.
     fn usable_slots(&self) -> u32 {
         if self.is_needed() {
             return 1;
@@ -168,14 +179,15 @@
         }
     }
 
-    /// What so many slots are worth under its rate limit.
+    /// Limits a number of slots to those that the rate limit keeps busy.
     fn paced(&self, slots: u32) -> f64 {
         let slots = f64::from(slots);
         self.paced_slots.map_or(slots, |it| it.min(slots))
     }
 
-    /// Whether a request may go there beside those that are open on it, whatever their age says: the users miss it, and what
-    /// holds its slots may never be answered though it is well. Work that may be sent again loses little by it.
+    /// Whether a request may use all slots of the endpoint, however long the requests on it have
+    /// been open. The endpoint is starved, and the requests that hold its slots may never be
+    /// answered although it is healthy. Repeatable work loses little by trying.
     fn takes_beside(&self, ask: &Ask, distance: Distance) -> bool {
         self.is_missed(ask, distance)
             && self.strain == Strain::Unserved
@@ -192,8 +204,8 @@
         }
     }
 
-    /// Whether it is used last, and its last failure is so long ago that it may be well by now. One of a working set is
-    /// replaced instead.
+    /// Whether the endpoint is used only as a last resort or cautiously, and its last failure is so
+    /// old that it may have recovered. In a working set, a failed member is replaced instead.
     fn is_due_for_trial(&self) -> bool {
         if self.spread == Spread::WorkingSet {
             return false;
@@ -204,17 +216,19 @@
             && self.silence <= SILENCE_FAILS
     }
 
-    /// Rank by sickness among endpoints of one tier, before slots and distance. Last choices and further
-    /// sends go by how likely it is sick: those that fail do so fast, and by free slots alone would be
-    /// chosen first. For all others it only matters whether there is doubt, because finer ranks send more
-    /// work to other failure domains than they save. One that is due comes first.
+    /// Health rank among endpoints of one tier, compared before slots and distance; lower is
+    /// better. Last-resort choices and further sends are ranked by the probability that the
+    /// endpoint is unhealthy: unhealthy endpoints fail fast, so ranked by free slots alone they
+    /// would be chosen first. All other sends only distinguish endpoints used freely, or due for a
+    /// probe, from the rest, because a finer rank causes more traffic to other failure domains than
+    /// it saves.
     fn doubt(&self, tier: Tier, ask: &Ask, distance: Distance) -> u32 {
         match tier {
             Tier::Near | Tier::Last => (self.sick * DOUBT_STEPS) as u32,
-            // The last chance of its request.
+            // A further send is the last chance of its request.
             _ if ask.send == SendKind::Further => (self.sick * DOUBT_STEPS) as u32,
             _ if self.is_due(ask, distance) || self.usage() == Use::Freely => 0,
-            // Those of the reserve go before one that has failed.
+            // Endpoints of the reserve rank before a member that has failed.
             _ if self.spread == Spread::WorkingSet => 1 + (self.sick * DOUBT_STEPS) as u32,
             _ => 1,
         }
@@ -222,18 +236,19 @@
 }
 
 impl Dispatcher {
-    /// Looks at all endpoints and at the queue.
+    /// Takes a snapshot of all endpoints and of the queue.
     pub(super) fn survey(&self, now: Time) -> Survey {
         self.survey_of(now, 0..self.loads.len())
     }
 
-    /// Looks at these endpoints and at the queue.
+    /// Takes a snapshot of the given endpoints and of the queue.
     pub(super) fn survey_of(&self, now: Time, endpoints: impl Iterator<Item = usize>) -> Survey {
         let looks = endpoints.map(|i| self.look(now, i)).collect();
         Survey { now, looks, waiting: self.queue.count_by_priority() }
     }
 
-    /// Looks again at one endpoint and at the queue, in which a request less waits.
+    /// Updates the snapshot of one endpoint and of the queue after a queued request was granted a
+    /// slot.
     pub(super) fn look_again(&self, survey: &mut Survey, i: usize) {
         survey.waiting = self.queue.count_by_priority();
         let now = survey.now;
@@ -242,11 +257,11 @@
         }
     }
 
-    /// The free endpoint of the best tier with the least cost, then the one that has been without work for longest; in a
-    /// working set the one that was used last.
+    /// Chooses the free endpoint of the best tier with the least cost. Ties go to the endpoint that
+    /// has been idle longest or, in a working set, to the one used last.
     ///
-    /// A worse one is taken only by those that wait, and only if waiting for a
-    /// good one would be in vain or take longer than the asker's patience.
+    /// Tiers from [`Tier::Near`] on are used only for requests that may wait, and only if no good
+    /// endpoint can come free or the expected wait exceeds the longest acceptable one.
     pub(super) fn choose(
         &self,
         survey: &Survey,
@@ -281,7 +296,7 @@
             }
             let tier = match load.in_use() {
                 it if it < usable => tier,
-                // The other slots of a doubtful endpoint are better than one that is known to fail.
+                // Further slots of a doubtful endpoint are better than an endpoint known to fail.
                 it if it < look.slots && tier < Tier::Last => Tier::Last,
                 _ => continue,
             };
@@ -291,15 +306,15 @@
                 way(distance, self.endpoints()[look.i].slots)
             };
             let cost = load.in_use() + way;
-            // Among equals the one that has been without work for longest. Drawn by chance, a quarter of the endpoints
-            // have nothing for two seconds where 1.2 sends come for each, are then taken for a little doubtful, and
-            // go behind the others.
+            // Ties go to the endpoint that has been idle longest. With a random choice and 1.2
+            // sends per endpoint in two seconds, a quarter of the endpoints get nothing for two
+            // seconds, then rank as slightly doubtful and fall behind the others.
             let idle = load.idle(now).unwrap_or(Duration::MAX);
             let by_idle = match look.spread {
                 Spread::Even => Duration::MAX - idle,
                 Spread::WorkingSet => idle,
             };
-            // One whose answers travel has its link to share.
+            // An endpoint with answers in transit shares its link among them.
             let key =
                 (tier, look.doubt(tier, ask, distance), cost, load.travelling(), by_idle, tie());
             if best.is_none_or(|(other, _)| key < other) {
@@ -313,19 +328,20 @@
         (tier < Tier::Near || take_worse).then_some((i, tier))
     }
 
-    /// How long a good endpoint is waited for. A send that can be followed by another one loses little
-    /// on an endpoint that fails; the last one loses all.
+    /// Longest time to wait for a good endpoint. A send that another one can follow loses little on
+    /// an endpoint that fails; for the last send the request fails.
     pub(super) fn patience(&self, ask: &Ask) -> Duration {
         let part = if self.is_last_send(ask) { LAST_SEND_PATIENCE } else { FIRST_SEND_PATIENCE };
         ask.objective.mul_f64(part)
     }
 
-    /// Whether no other send will follow, by the route's rules or because the budget is nearly spent.
+    /// Whether no other send will follow, by the rules of the route or because the repeat budget is
+    /// nearly spent.
     fn is_last_send(&self, ask: &Ask) -> bool {
         ask.is_last || self.is_budget_short
     }
 
-    /// Looks at what bears on all choices at this moment.
+    /// Refreshes the inputs that all choices at this moment share.
     pub(super) fn look_around(&mut self, now: Time) {
         self.is_budget_short = self.budget.is_short(now);
         self.strain = self.served.strain(now);
@@ -333,7 +349,8 @@
         self.look_who_is_due(now);
     }
 
-    /// Works out for how long endpoints are left alone: anew a few times a second while nothing presses.
+    /// Computes the idle time after which endpoints are due for a probe: several times a second in
+    /// steady state, and on every call under pressure or while requests are queued.
     fn look_who_is_due(&mut self, now: Time) {
         if self.strain != Strain::None || self.queue.len() > 0 {
             self.due_after = (self.strain.idle_for(), now);
@@ -350,7 +367,7 @@
         }
     }
 
-    /// What is believed of an endpoint now.
+    /// Health estimate of an endpoint, for a grant.
     pub(super) fn doubt(&self, now: Time, i: usize) -> Doubt {
         let look = self.look(now, i);
         Doubt {
@@ -383,10 +400,10 @@
         }
     }
 
-    /// Whether the next request is to show if it is well: it is left alone for too long, and nobody leaves it out for a young
-    /// failure. One that comes from near goes first.
+    /// Whether the next request should probe an idle endpoint. An endpoint whose last failure is
+    /// recent is not probed. Requests from its own failure domain probe it first.
     fn due(&self, now: Time, load: &Load, distance: Distance) -> Due {
-        // Another node hands them out, and sees who has had no work.
+        // A node in that region grants these slots and sees which endpoints are idle.
         if self.is_elsewhere(load) {
             return Due::Not;
         }
@@ -413,7 +430,7 @@
                 Tier::Cautious
             });
         }
-        // A trial is there to find out whether the failures have ended.
+        // A trial exists to find out whether the failures have ended, so it ignores the estimate.
         let is_on_trial = matches!(look.state, State::Trial { .. });
         let usage = if is_on_trial { Use::Freely } else { look.usage() };
         let is_suspect = look.state == State::Suspect && now.since(look.since) < TRY_AGAIN;
@@ -422,8 +439,8 @@
             || now < load.full_until
             || self.judge.avoids(now, look.i, ask.reporter);
         let last = is_suspect || usage == Use::Last || is_out_of_use;
-        // Work that can be sent again loses little by finding out if an endpoint is well again, and a
-        // recovered one is missed capacity until someone tries it.
+        // Repeatable work loses little by testing whether an endpoint has recovered, and a
+        // recovered endpoint is unused capacity until a request tries it.
         let may_try = !is_out_of_use && !self.is_last_send(ask) && (is_near || !ask.bulky);
         match usage {
             _ if ask.avoid.contains(&look.addr) => Some(Tier::Avoided),
