--- a/crates/policy/src/dispatcher/congestion.rs
+++ b/crates/policy/src/dispatcher/congestion.rs
@@ -1,41 +1,44 @@
-//! For how long requests may wait for a slot.
+//! Decides whether a request may wait for a slot.
 //!
-//! Answers what load it saves: more requests than the service can serve, for longer than a moment. A queue that is let grow to
-//! the time limits then stays that long: as many are served as with a short one, each of them late. A burst that passes is
-//! another matter: whoever waits through it is served late rather than not at all.
+//! The rule targets sustained overload. A queue that may grow up to the time limits stays that
+//! long: as many requests are served as with a short queue, but each of them late. During a short
+//! burst, waiting is better: a request that waits is served late instead of being refused.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Part of the objective by which a request is expected to end while congestion lasts: work varies.
+/// While congestion lasts, a request is admitted only if it is expected to end within this share of
+/// its objective; the rest is a margin because service times vary.
 const TARGET: f64 = 0.75;
-/// Part of the objective below which waits, for as long as the objective, end the congestion.
+/// Congestion ends after waits have been shorter than this share of the objective for the length of
+/// one objective.
 const RELIEVED: f64 = 0.25;
 
-/// Whether those that wait have been late for longer than a burst.
+/// Tracks whether queued requests have been expected to end late for longer than a burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Congestion {
+    /// Since when requests have been expected to miss their objective.
     late_since: Option<Time>,
-    /// Since when hardly anybody had to wait.
+    /// Since when waits have been short.
     calm_since: Option<Time>,
 }
 
-/// A request that would wait.
+/// A request that would have to wait.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Newcomer {
-    /// How long it would wait.
+    /// Expected wait.
     pub(super) wait: Duration,
-    /// How long it would then take.
+    /// Expected service time after the wait.
     pub(super) work: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency objective of the request.
     pub(super) objective: Duration,
-    /// Time until its deadline.
+    /// Time until the deadline of the request.
     pub(super) left: Duration,
 }
 
 impl Congestion {
-    /// A request need not wait.
+    /// Records a request that waits briefly or not at all.
     pub(super) fn note_free_slot(&mut self, now: Time, objective: Duration) {
         let since = *self.calm_since.get_or_insert(now);
         if now.since(since) > objective {
