--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -1,5 +1,5 @@
-//! How the requests of a service fare at one dispatcher, for logs: what was asked for, how it ended, and which
-//! endpoints had nothing.
+//! Statistics of one dispatcher for logs: slots asked for, outcomes of requests, and idle
+//! endpoints.
 
 use std::time::Duration;
 
@@ -11,103 +11,105 @@
 use crate::rate_limit::RateLimit;
 use crate::time::Time;
 
-/// Endpoints without work for this long are reported. The users look at stretches of two seconds.
+/// Endpoints idle for this long are reported. The availability target evaluates windows of two
+/// seconds.
 const REPORTED_IDLE: Duration = Duration::from_secs(2);
 
-/// Counts since the counts were last taken.
+/// Event counts since the last call of [`Dispatcher::take_counts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatchCounts {
-    /// First sends asked for for the first time.
+    /// Asks for a first send, without repeated asks.
     pub first: u32,
     /// Further sends granted.
     pub repeats: u32,
-    /// Further sends that the budget refused.
+    /// Further sends refused by the repeat budget.
     pub repeats_refused: u32,
     /// Requests refused because the queue was too long.
     pub queue_refused: u32,
-    /// Requests whose time ended while they waited for a slot.
+    /// Requests that waited for a slot until their deadline.
     pub waited_in_vain: u32,
-    /// Requests that were withdrawn while they waited.
+    /// Requests withdrawn while they waited.
     pub withdrawn: u32,
     /// Requests that were answered.
     pub answered: u32,
     /// Last sends that failed.
     pub failed: u32,
-    /// Last sends beyond the first that endpoints turned away.
+    /// Last sends, other than first sends, that endpoints shed.
     pub shed_last: u32,
     /// Requests that timed out at an endpoint.
     pub timed_out: u32,
-    /// Sends that were rejected because endpoints end under their request.
+    /// Sends rejected because endpoints crash while they run the request.
     pub rejected: u32,
-    /// Requests of routes that lead here too, and that another service did not serve.
+    /// Requests of split routes that lead here too and that another service did not serve.
     pub unserved_elsewhere: u32,
-    /// Requests that were refused before the service was asked for them.
+    /// Requests refused before this service was asked for a slot.
     pub refused_before: u32,
     /// Slots that were given back.
     pub released: u32,
-    /// Slots that came free when an answer had begun, before it was whole.
+    /// Slots freed when an answer had begun, before it was complete.
     pub freed_early: u32,
-    /// Slots that were taken back because nothing was heard of their request any more.
+    /// Slots whose permit expired without release or renewal.
     pub expired: u32,
-    /// Sends granted to endpoints under a rate limit.
+    /// Sends granted to rate-limited endpoints.
     pub to_limited: u32,
-    /// Endpoints that were looked at for requests when they came.
+    /// Endpoints evaluated in choices for newly arrived requests.
     pub looks: u64,
 }
 
-/// The slots of a service and the endpoints without work at one moment.
+/// Slots in use and state of the endpoints of a service at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Occupancy {
     /// Slots in use.
     pub in_use: u32,
-    /// Answers that travel and hold no slot.
+    /// Answers in transit that hold no slot.
     pub travelling: u32,
     /// Endpoints that are expected to serve.
     pub expected: u32,
-    /// Those of them whose last failure is old enough for the users to count them as sound.
+    /// Expected endpoints whose last failure is so old that the availability target counts them as
+    /// healthy.
     pub sound: u32,
-    /// Sound ones that have had no work for two seconds.
+    /// Healthy endpoints that have been idle for two seconds.
     pub sound_idle: u32,
-    /// Endpoints under a rate limit.
+    /// Endpoints that have advertised a rate limit.
     pub limited: u32,
-    /// Requests a second that these take.
+    /// Sum of these rate limits, in requests a second.
     pub limit_per_s: f64,
-    /// Endpoints that have said that they leave.
+    /// Endpoints that have advertised that they are leaving.
     pub leaving: u32,
-    /// Endpoints that want nothing from some nodes for a while.
+    /// Endpoints that have asked at least one node to back off.
     pub resting: u32,
 }
 
-/// An endpoint that has had no work for two seconds, and what may be the reason.
+/// An endpoint that has been idle for two seconds, with possible reasons.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdleEndpoint {
     /// Identity of the endpoint.
     pub id: Name,
-    /// Time since it was last given work; nothing if it never was.
+    /// Time since its last request; `None` if it had none.
     pub idle: Option<Duration>,
-    /// Where it stands in the rotation.
+    /// Name of its state in the rotation.
     pub state: &'static str,
-    /// How it is used.
+    /// Name of its usage, which follows from the health estimate.
     pub used: &'static str,
     /// Whether its entry in the registry is missing.
     pub is_missing: bool,
-    /// Probability that it is sick.
+    /// Probability that it is unhealthy.
     pub sick: f64,
     /// Time since its last failure.
     pub since_failure: Option<Duration>,
     /// Slots in use.
     pub in_use: u32,
-    /// For how long the oldest request on it has been open.
+    /// Age of the oldest open request on it.
     pub oldest_open: Option<Duration>,
 }
 
 impl Dispatcher {
-    /// Counts since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take_counts(&mut self) -> DispatchCounts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Endpoints that could be used and have had no work for two seconds.
+    /// Endpoints that have been known and idle for at least two seconds.
     pub fn idle_endpoints(&self, now: Time) -> impl Iterator<Item = IdleEndpoint> + '_ {
         let share = self.signs.share();
         let all = self.endpoints().iter().zip(&self.loads);
@@ -127,7 +129,7 @@
         )
     }
 
-    /// Slots in use and sound endpoints without work.
+    /// Slots in use and state of the endpoints.
     pub fn occupancy(&self, now: Time) -> Occupancy {
         let mut it = Occupancy::default();
         for (status, load) in self.endpoints().iter().zip(&self.loads) {
@@ -149,12 +151,13 @@
         it
     }
 
-    /// Whether so much is not served, here or elsewhere, that endpoints without work are missed; as of the last choice.
+    /// Whether so many requests are not served, here or by other services of a split route, that
+    /// idle endpoints count against the floor; as of the last choice.
     pub fn is_strained(&self) -> bool {
         self.strain != Strain::None
     }
 
-    /// How much the service misses endpoints, as of the last choice; for logs.
+    /// Name of the pressure on the service as of the last choice, for logs.
     pub fn strain_name(&self) -> &'static str {
         self.strain.name()
     }
