--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher learns from outcomes: beliefs at once and softly, verdicts by the judge.
+//! Learns from outcomes: each one updates the health estimate of its endpoint at once, while
+//! outlier detection turns sustained evidence into verdicts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,29 +15,30 @@
 use crate::served::Ending;
 use crate::time::Time;
 
-/// What is learned of the service's signs is refreshed this often.
+/// How often the learned likelihoods are refreshed.
 const REFRESH: Duration = Duration::from_millis(100);
 
-/// What is known of an endpoint, for reports.
+/// Health of an endpoint, for reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvidenceReport {
-    /// Score of the sequential test.
+    /// Score of the sequential test of outlier detection.
     pub score: f64,
     /// Slots in use.
     pub in_use: u32,
-    /// Probability that it is sick.
+    /// Probability that it is unhealthy.
     pub sick: f64,
-    /// How it is used for that.
+    /// Name of its usage, which follows from this probability.
     pub used: &'static str,
     /// Time since its last failure.
     pub since_failure: Option<Duration>,
-    /// The rate limit that it has named.
+    /// Rate limit that it has advertised.
     pub rate_limit: Option<RateLimit>,
 }
 
 impl Dispatcher {
-    /// Learns that a request is stalled while it is still open. What its age says of the endpoint
-    /// is counted at each choice; here it counts for a verdict.
+    /// Records that an open request has stalled. Before the answer has begun, only outlier
+    /// detection counts the stall: the health estimate already includes the age of open requests at
+    /// each choice.
     pub fn stalled(&mut self, now: Time, id: PermitId, elapsed: Duration) {
         let Some(permit) = self.permits.get_mut(&id) else { return };
         match permit.told {
@@ -45,7 +47,8 @@
                 let it = permit.observation(Kind::Stalled, elapsed);
                 self.judge.observe(now, it);
             }
-            // Its age says nothing, so that the silence counts at once.
+            // The age of a request no longer counts once its answer has begun, so that the health
+            // estimate must count the stall, too.
             Told::AnswerBegan => {
                 permit.told = Told::AnswerStalled;
                 let it = permit.observation(Kind::Stalled, elapsed);
@@ -55,8 +58,8 @@
         }
     }
 
-    /// Learns that an answer has begun after `elapsed`, and is not whole yet. The time until its end says nothing. Returns
-    /// replies for those that waited for its slot.
+    /// Records that an answer has begun after `elapsed` and is not complete yet. The time until its
+    /// end is no evidence of health. Returns replies for queued requests that got the slot.
     pub fn answer_began(
         &mut self,
         now: Time,
@@ -84,8 +87,8 @@
         self.drain(now, rng)
     }
 
-    /// Learns from a request that another dispatcher gave the slot for. One that began before this life of the
-    /// endpoint was known went to the life before.
+    /// Records the outcome of a request whose slot another dispatcher granted. An outcome of a
+    /// request that may have gone to the previous incarnation of the endpoint is ignored.
     pub fn observe(&mut self, now: Time, id: &str, observation: Observation) {
         let Some(endpoint) = self.judge.rotation.position(id) else { return };
         if !self.loads[endpoint].is_older(now, observation.elapsed) {
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Learns of requests that another service did not serve, on routes that lead to this one too.
+    /// Records requests of split routes that lead here too and that another service did not serve.
     pub fn unserved_elsewhere(&mut self, now: Time, requests: u32) {
         if requests > 0 {
             self.counts.unserved_elsewhere += requests;
@@ -101,8 +104,9 @@
         }
     }
 
-    /// Learns of requests that were refused before this service was asked for them. The users count them as not served by
-    /// it, and want work at most of its sound endpoints while many are.
+    /// Records requests that were refused before this service was asked for a slot. The
+    /// availability target counts them as not served by this service, and while many are not served
+    /// it requires work at most of the healthy endpoints.
     pub fn refused_before(&mut self, now: Time, requests: u32) {
         self.counts.refused_before += requests;
         self.note_unserved(now, requests as usize);
@@ -113,7 +117,8 @@
         (0..requests).for_each(|_| self.served.note(now, Ending::Unserved));
     }
 
-    /// Takes over what another dispatcher of the same service knows of failures.
+    /// Takes over the health estimates, advertisements and crash suspects of another dispatcher of
+    /// the same service.
     pub fn with_beliefs_of(mut self, now: Time, other: &Self) -> Self {
         for (it, load) in self.judge.rotation.endpoints().iter().zip(&mut self.loads) {
             if let Some(i) = other.judge.rotation.position(&it.id) {
@@ -127,7 +132,8 @@
         self
     }
 
-    /// Uses an endpoint last until `until`, on the word of the peer that dispatches it.
+    /// Uses an endpoint only as a last resort until `until`, as reported by the peer that
+    /// dispatches the service.
     pub fn hint(&mut self, until: Time, addr: SocketAddr) {
         for (it, load) in self.judge.rotation.endpoints().iter().zip(&mut self.loads) {
             if it.addr == addr {
@@ -136,7 +142,7 @@
         }
     }
 
-    /// Endpoints that are used last because of their latest failures, with the time until when.
+    /// Addresses of the endpoints that are used only as a last resort because of recent failures.
     pub fn set_back(&self, now: Time) -> impl Iterator<Item = SocketAddr> + '_ {
         let endpoints = self.endpoints().iter().zip(&self.loads);
         endpoints
@@ -146,7 +152,7 @@
             .map(|(it, _)| it.addr)
     }
 
-    /// What is known of an endpoint, for the report.
+    /// Health of an endpoint, for reports.
     pub fn evidence_of(&self, now: Time, endpoint: usize) -> EvidenceReport {
         let load = &self.loads[endpoint];
         EvidenceReport {
@@ -229,7 +235,7 @@
         }
     }
 
-    /// How much more likely an outcome is at a sick endpoint.
+    /// Likelihood ratio of an outcome, unhealthy against healthy.
     fn ratio(&self, it: &Observation) -> f64 {
         let baseline = &self.judge.baseline;
         match it.kind.is_silence() {
