--- a/crates/policy/src/dispatcher/load.rs
+++ b/crates/policy/src/dispatcher/load.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher knows of one endpoint: its slots in use, its latest failures, and for how long the
-//! requests on it have been open.
+//! Per-endpoint state of a dispatcher: slots in use, health estimate, advertisements, and the age
+//! of the open requests.
 
 use std::time::Duration;
 
@@ -13,37 +13,39 @@
 use crate::time::Time;
 use crate::topology::Distance;
 
-/// One endpoint, as far as a dispatcher knows it.
+/// State of one endpoint in a dispatcher.
 #[derive(Clone, Debug)]
 pub(super) struct Load {
     /// Hash of its failure domain.
     pub(super) failure_domain: u64,
-    /// Hash of its region, if that is known.
+    /// Hash of its region, if known.
     pub(super) region: Option<u64>,
+    /// Treated as full until then, after it shed a request or asked for a back-off.
     pub(super) full_until: Time,
-    /// Used last until then, on the word of the peer that dispatches the endpoint.
+    /// Used only as a last resort until then, as reported by the peer that dispatches the service.
     pub(super) hinted_until: Time,
     pub(super) belief: Belief,
-    /// What it has said of itself.
+    /// What it has advertised in its answers.
     pub(super) said: Said,
-    /// For how much longer the registry called it cold when that last changed.
+    /// Remaining warm-up time when the registry last changed it.
     pub(super) told_warm_up: Duration,
-    /// Its failure domain was evacuated when that was last looked at.
+    /// Whether its failure domain was evacuated at the last update from the registry.
     pub(super) was_evacuated: bool,
     open: Vec<OpenSend>,
-    /// When it last got a request.
+    /// Time of its last request.
     used_at: Option<Time>,
-    /// Since when it is known here.
+    /// Since when this dispatcher has known it.
     known_since: Time,
-    /// An earlier life of it was known here.
+    /// Whether an earlier incarnation of it was known here.
     began_again: bool,
-    /// It has joined a service that was handed out here, and had no work yet.
+    /// Whether it joined while the service was already dispatched here, and has had no request yet.
     pub(super) is_newcomer: bool,
-    /// Its place among those that join at the same time, from 0 to 1.
+    /// Position of its first request in the introduction period of recently joined endpoints, from
+    /// 0 to 1.
     pub(super) turn: f64,
 }
 
-/// A request that is not over.
+/// A request that has not ended.
 #[derive(Clone, Copy, Debug)]
 struct OpenSend {
     id: PermitId,
@@ -53,21 +55,21 @@
     progress: Progress,
 }
 
-/// How far a request has come at its endpoint.
+/// Progress of a request at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    /// The endpoint works on it.
+    /// The answer has not begun.
     AtWork,
-    /// Its answer travels, and its age says nothing any more.
+    /// The answer is in transit. The age of the request is no evidence any more.
     Travels(Slot),
 }
 
-/// What becomes of a slot while an answer travels.
+/// Whether an answer in transit occupies a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Slot {
-    /// It may be used again.
+    /// The slot may be used again.
     Free,
-    /// The endpoint holds it until the last byte has gone.
+    /// The endpoint holds the slot until the last byte is sent.
     Held,
 }
 
@@ -97,23 +99,24 @@
         }
     }
 
-    /// One that joins while the service is handed out. Their identities spread the turns of those that join together.
+    /// Marks an endpoint that joins while the service is dispatched. The hash of its identity
+    /// spreads the first requests of endpoints that join together.
     pub(super) fn joining(self, id: &str) -> Self {
         let turn = stable_hash(id.as_bytes()) as f64 / u64::MAX as f64;
         Self { is_newcomer: true, turn, ..self }
     }
 
-    /// An endpoint that has started again: its life before was known.
+    /// Creates the state of a restarted endpoint, whose previous incarnation was known here.
     pub(super) fn again(now: Time, failure_domain: &str) -> Self {
         Self { began_again: true, ..Self::new(now, failure_domain) }
     }
 
-    /// Whether a request that took `elapsed` until now may have gone to the life before.
+    /// Whether a request that took `elapsed` until now may have gone to the previous incarnation.
     pub(super) fn is_older(&self, now: Time, elapsed: Duration) -> bool {
         self.began_again && elapsed > self.age(now)
     }
 
-    /// How far it is from a node in this failure domain and region.
+    /// Distance from a node in this failure domain and region.
     pub(super) fn distance(&self, failure_domain: u64, region: Option<u64>) -> Distance {
         match (self.region, region) {
             _ if self.failure_domain == failure_domain => Distance::Near,
@@ -122,17 +125,17 @@
         }
     }
 
-    /// Time without work; nothing if it has had none.
+    /// Time since its last request; `None` if it had none.
     pub(super) fn idle(&self, now: Time) -> Option<Duration> {
         self.used_at.map(|it| now.since(it))
     }
 
-    /// Time without work, since it was first known here if it has had none.
+    /// Time since its last request, or since it became known here if it had none.
     pub(super) fn alone(&self, now: Time) -> Duration {
         self.idle(now).unwrap_or(self.age(now))
     }
 
-    /// Time since it was first known here.
+    /// Time since it became known here.
     pub(super) fn age(&self, now: Time) -> Duration {
         now.since(self.known_since)
     }
@@ -142,17 +145,17 @@
         self.open.iter().filter(|it| it.holds_slot()).count() as u32
     }
 
-    /// Answers that travel from it and hold no slot.
+    /// Answers in transit that hold no slot.
     pub(super) fn travelling(&self) -> u32 {
         self.open.len() as u32 - self.in_use()
     }
 
-    /// For how long the oldest request on it has been open.
+    /// Age of the oldest open request on it.
     pub(super) fn oldest_open(&self, now: Time) -> Option<Duration> {
         self.open.iter().map(|it| now.since(it.since)).max()
     }
 
-    /// Takes a slot.
+    /// Adds a request that takes a slot.
     pub(super) fn take(&mut self, now: Time, ask: &Ask) {
         self.used_at = Some(now);
         self.is_newcomer = false;
@@ -160,25 +163,26 @@
         self.open.push(OpenSend { id, since: now, route, request, progress: Progress::AtWork });
     }
 
-    /// Ends a request; returns whether it still held its slot.
+    /// Removes a request; returns whether it still held its slot.
     pub(super) fn give_back(&mut self, id: PermitId) -> bool {
         let held = self.open.iter().any(|it| it.id == id && it.holds_slot());
         self.open.retain(|it| it.id != id);
         held
     }
 
-    /// The requests on it, those whose answers travel included.
+    /// The open requests on it, including those whose answers are in transit.
     pub(super) fn requests(&self) -> impl Iterator<Item = RequestKey> {
         self.open.iter().map(|it| it.request)
     }
 
-    /// The answer to a request has begun.
+    /// Records that the answer to a request has begun.
     pub(super) fn answer_began(&mut self, id: PermitId, slot: Slot) {
         let open = self.open.iter_mut().find(|it| it.id == id);
         open.into_iter().for_each(|it| it.progress = Progress::Travels(slot));
     }
 
-    /// How much more likely it is that no request on it has been answered by now if it is sick.
+    /// Likelihood ratio, unhealthy against healthy, of having answered none of its open requests by
+    /// now.
     pub(super) fn silence(&self, now: Time, baseline: &Baseline, signs: &Signs) -> f64 {
         let waiting = self.open.iter().filter(|it| it.progress == Progress::AtWork);
         let ratio =
