--- a/crates/policy/src/dispatcher/notices.rs
+++ b/crates/policy/src/dispatcher/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves.
+//! Notices that endpoints send about themselves in their answers: rate limits, leaving, back-off.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,15 +10,17 @@
 use crate::rotation::EndpointStatus;
 use crate::time::Time;
 
-/// An endpoint that asks one node for rest is used last by all for this long at most.
+/// Longest time for which an endpoint is treated as full for all nodes after it asked one node to
+/// back off.
 const MAX_FULL: Duration = Duration::from_secs(1);
 
-/// Endpoints of a failure domain that a request must not use are not waited for. It may come back after this.
+/// `retry_after` for a request that must not use the failure domains of the available endpoints.
+/// Such a request is not queued.
 const BARRED_FOR: Duration = Duration::from_secs(5);
 
 impl Dispatcher {
-    /// Learns what an endpoint said of itself in an answer to the node `by`. What another life of it said is passed over.
-    /// Returns whether it is news.
+    /// Applies a notice that an endpoint sent in an answer to the node `by`. Notices of another
+    /// incarnation are ignored. Returns whether the notice was new.
     pub fn noticed(
         &mut self,
         now: Time,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Whether an endpoint has said that it wants no request of a node, or is evacuated.
+    /// Whether an endpoint takes no requests of a node because of its notices, or is evacuated.
     pub fn is_closed(&self, now: Time, node: NodeId, id: &str, started_ms: u64) -> bool {
         let Some(i) = self.judge.rotation.position(id) else { return false };
         let (it, load) = (&self.endpoints()[i], &self.loads[i]);
@@ -53,7 +55,7 @@
         is_closed && it.started_ms == started_ms
     }
 
-    /// The endpoints that have said that they want no request of a node.
+    /// Addresses of the endpoints that take no requests of a node because of their notices.
     pub fn closed(&self, now: Time, node: NodeId) -> Vec<SocketAddr> {
         self.closed_to(now, node).map(|it| it.addr).take(Ask::MAX_CLOSED).collect()
     }
@@ -63,7 +65,7 @@
         all.filter(move |(_, load)| load.said.is_closed_to(now, node)).map(|(it, _)| it)
     }
 
-    /// What endpoints had said whose entries were gone for a moment holds again.
+    /// Restores the advertisements of endpoints whose registry entries had lapsed and are back.
     pub(super) fn recall(&mut self, now: Time) {
         for i in 0..self.loads.len() {
             let it = &self.judge.rotation.endpoints()[i];
@@ -74,20 +76,22 @@
         self.leave_as_said(now);
     }
 
-    /// Takes endpoints that have said that they leave out of rotation, whatever the registry tells.
+    /// Takes endpoints out of rotation that have advertised that they are leaving, whatever the
+    /// registry says.
     pub(super) fn leave_as_said(&mut self, now: Time) {
         for i in (0..self.loads.len()).filter(|i| self.loads[*i].said.is_leaving) {
             self.judge.rotation.leave(now, i);
         }
     }
 
-    /// Whether an endpoint wants nothing from some node for a while.
+    /// Whether an endpoint has asked some node to back off.
     pub(super) fn has_rests(&self, now: Time) -> bool {
         self.loads.iter().any(|it| it.said.rests.count(now) > 0)
     }
 
-    /// When to come back, if all endpoints that take work want nothing from the asker for longer than it has patience, or
-    /// stand where the request must not go. Other nodes may be served at once.
+    /// Returns a `retry_after` if no usable endpoint takes the request within the longest
+    /// acceptable wait, because all have asked the node to back off or are in failure domains that
+    /// the request must not use. It is short if other nodes could be served at once.
     pub(super) fn closed_for(&self, now: Time, ask: &Ask) -> Option<Duration> {
         let node = ask.reporter.node;
         let mut rests = Vec::new();
