--- a/crates/policy/src/dispatcher/overlap.rs
+++ b/crates/policy/src/dispatcher/overlap.rs
@@ -1,40 +1,43 @@
-//! Whether the endpoints of a service take the next request once an answer has begun, or hold its slot until the last byte has
-//! gone.
+//! Detects whether the endpoints of a service take the next request as soon as an answer has begun,
+//! or only after its last byte is sent.
 //!
-//! Answers what load it saves: long answers over thin links, which travel for as long as the work takes or longer. A slot that
-//! stays in use meanwhile halves the service. Upstreams differ: one that writes from a buffer works on; one that
-//! holds a worker until the last byte has gone turns away, or keeps waiting, what is sent too early. A send that goes to an
-//! endpoint only because answers travel from there is an experiment: how such sends fare beside the others tells
-//! which it is.
+//! This matters for long answers over thin links, which are in transit for as long as the work
+//! takes or longer. If each answer held its slot meanwhile, the service would have half its
+//! capacity. Upstreams differ: one that writes from a buffer goes on working; one that holds a
+//! worker until the last byte is sent sheds or queues requests that arrive earlier. Sends that fit
+//! on an endpoint only because answers in transit hold no slot serve as an experiment: their
+//! outcomes, compared with those of all other sends, show which kind the upstream is.
 
 use std::time::Duration;
 
 use super::{Dispatcher, Permit};
 use crate::time::Time;
 
-/// Sends of a kind before they are judged.
+/// Minimum number of sends of a kind before its outcomes are compared.
 const MIN_SENDS: f64 = 16.0;
-/// Time constant with which sends lose their weight, in seconds. Kinds of sends are compared that went out at about the same
-/// time: a service gets slower and faster as a whole.
+/// Time constant of the decay of older sends, in seconds. Only sends of about the same time are
+/// comparable, because a service gets slower and faster as a whole.
 const COUNTS_FOR: f64 = 5.0;
-/// Slots are held if so much more of the sends beside answers is shed than of the others.
+/// Slots are held if the share of overlapping sends that are shed exceeds that of regular sends by
+/// more than this.
 const SHED_MORE: f64 = 0.2;
-/// Slots are held if sends beside answers take so many times as long to be answered. Endpoints get slower when they are nearly
-/// full, which is no reason to leave them unused.
+/// Slots are held if overlapping sends take more than this many times as long to be answered as
+/// regular sends. Endpoints also get slower when they are nearly full, which is no reason to leave
+/// slots unused.
 const SLOWER: f64 = 2.0;
-/// For how long slots count as held before it is tried again; doubles each time.
+/// How long slots are held before overlapping sends are tried again; doubles each time.
 const HELD_FOR: Duration = Duration::from_secs(10);
-/// Longest such time.
+/// Upper bound of this time.
 const MAX_HELD_FOR: Duration = Duration::from_secs(320);
 
-/// What endpoints do while an answer of theirs travels.
+/// Compares sends that overlap with answers in transit to regular sends.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Overlap {
-    /// Sends to endpoints that would have had no free slot if answers held theirs.
+    /// Sends to endpoints that would have had no free slot if answers in transit held theirs.
     beside: Tally,
-    /// All others.
+    /// All other sends.
     alone: Tally,
-    /// Slots count as held until then.
+    /// The period in which answers in transit hold their slots.
     held: Option<Held>,
 }
 
@@ -44,28 +47,29 @@
     length: Duration,
 }
 
-/// Whether a send went to an endpoint only because answers travel from there.
+/// Whether a send fits on its endpoint only because answers in transit hold no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sent {
     Alone,
     BesideAnswers,
 }
 
-/// How a send began.
+/// How an endpoint responded to a send.
 #[derive(Clone, Copy, Debug)]
 enum Began {
     /// Turned away before any work.
     Shed,
-    /// Its answer began after so many times the objective.
+    /// The answer began after this multiple of the objective.
     Answered(f64),
 }
 
-/// Sends of one kind, the late ones with more weight.
+/// Decaying counts of the sends of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     sends: f64,
     shed: f64,
     answered: f64,
+    /// Sum of the times until the answers began, in multiples of the objective.
     took: f64,
     at: Time,
 }
@@ -76,7 +80,7 @@
         self.held.is_none_or(|it| now >= it.until)
     }
 
-    /// Takes in how a send began.
+    /// Records the response to a send.
     fn note(&mut self, now: Time, sent: Sent, began: Began) {
         match sent {
             Sent::Alone => self.alone.add(now, began),
@@ -132,7 +136,7 @@
 }
 
 impl Dispatcher {
-    /// Whether a send that goes to an endpoint now goes there only because answers that travel hold no slot.
+    /// Whether a send to an endpoint fits now only because answers in transit hold no slot.
     pub(super) fn sent_to(&self, now: Time, endpoint: usize) -> Sent {
         let load = &self.loads[endpoint];
         let slots = self.endpoints()[endpoint].usable_slots(now);
@@ -142,14 +146,14 @@
         }
     }
 
-    /// Takes in after what part of the objective an answer began.
+    /// Records the time until an answer began.
     pub(super) fn note_answer(&mut self, now: Time, permit: &Permit, elapsed: Duration) {
         let objective = permit.objective.max(Duration::from_millis(1));
         let took = elapsed.as_secs_f64() / objective.as_secs_f64();
         self.overlap.note(now, permit.sent, Began::Answered(took));
     }
 
-    /// Takes in that a send was turned away.
+    /// Records that a send was shed.
     pub(super) fn note_shed(&mut self, now: Time, sent: Sent) {
         self.overlap.note(now, sent, Began::Shed);
     }
