--- a/crates/policy/src/dispatcher/paced.rs
+++ b/crates/policy/src/dispatcher/paced.rs
@@ -1,8 +1,8 @@
-//! Sends to endpoints that name a rate limit.
+//! Sends to rate-limited endpoints.
 //!
-//! Answers what load it saves: an endpoint in need that takes a few requests a second, while its free slots would draw as many as
-//! any other's. It keeps its work up to the limit, and what the limit takes from the service's capacity counts for
-//! everyone who waits.
+//! An overloaded endpoint may take only a few requests a second, while its free slots would attract
+//! as many as those of any other endpoint. It receives work up to its limit, and the estimate of
+//! the service's capacity for queued requests counts it with its limit.
 
 use std::time::Duration;
 
@@ -13,14 +13,15 @@
 use crate::time::Time;
 
 impl Dispatcher {
-    /// Learns that a request of this node goes to an endpoint on the word of another dispatcher.
+    /// Records that a request of this node goes to an endpoint whose slot another dispatcher
+    /// granted.
     pub fn sent_elsewhere(&mut self, now: Time, id: &str) {
         if let Some(endpoint) = self.judge.rotation.position(id) {
             self.loads[endpoint].said.pace.sent_elsewhere(now);
         }
     }
 
-    /// The rate limits that this node has heard of lately, the latest first.
+    /// Rate limits that this node has received recently, latest first.
     pub fn heard_limits(&self, now: Time) -> Vec<HeardLimit> {
         let all = self.endpoints().iter().zip(&self.loads);
         let mut told: Vec<_> =
@@ -30,7 +31,7 @@
         told
     }
 
-    /// Takes in the limits that an asker has heard of, and its sends under them.
+    /// Takes over the limits that an asker has received, and its sends under them.
     pub(super) fn hear_limits(&mut self, now: Time, ask: &Ask) {
         let before = |ms: u32| now - Duration::from_millis(ms.into());
         for it in &ask.limits {
@@ -42,13 +43,14 @@
         }
     }
 
-    /// Whether an endpoint is under a rate limit.
+    /// Whether any endpoint is under a rate limit.
     pub fn has_limits(&self, now: Time) -> bool {
         self.loads.iter().any(|it| it.said.pace.bound(now).is_some())
     }
 
-    /// Follows what the registry tells of cold endpoints. One in a failure domain whose evacuation ends may be cold too:
-    /// its next word is still to come.
+    /// Applies the registry's warm-up times of cold endpoints. When the evacuation of a failure
+    /// domain ends, its endpoints are taken for cold as well until the registry reports their
+    /// warm-up time.
     pub(super) fn chill(&mut self, now: Time) {
         let Some(rate) = self.cold_rate else { return };
         for (it, load) in self.judge.rotation.endpoints().iter().zip(&mut self.loads) {
@@ -67,8 +69,9 @@
         }
     }
 
-    /// Dispatchers that may send under the limit of an endpoint at the same time, each with an equal part. The first choice in
-    /// the endpoint's region has all of it: parts of the others are so small that they hardly add up to as much again.
+    /// Number of dispatchers that may send under the limit of an endpoint at the same time, each
+    /// with an equal share of it. The first choice in the endpoint's region uses the whole limit;
+    /// the shares of the others are so small that together they hardly exceed one more limit.
     pub(super) fn sharers(&self, load: &Load) -> usize {
         match self.precedence {
             Precedence::First if !self.is_elsewhere(load) => 1,
