--- a/crates/policy/src/dispatcher/rest.rs
+++ b/crates/policy/src/dispatcher/rest.rs
@@ -1,41 +1,45 @@
-//! For how long endpoints without work are left alone.
+//! Computes how long endpoints may stay idle before a request probes them.
 //!
-//! The load this answers: a service with slots to spare, a part of whose endpoints fails for seconds now and then,
-//! and whose work must not be repeated. Each time such an endpoint is tried, a caller may lose its request; as
-//! long as the slots are not missed, nobody gains by it. What binds is the users' floor: while a tenth to a half of
-//! a service's requests go unserved during two seconds, most of its sound endpoints must get work in these. An
-//! endpoint that failed by itself counts as sound again after two seconds, so that one left alone for longer than
-//! [`IDLE_AFTER`] may count as missing.
+//! The case this addresses: a service with spare slots, some of whose endpoints fail for seconds
+//! now and then, and whose requests must not be repeated. Each request that probes such an endpoint
+//! may be lost, and as long as its slots are not needed nobody gains by the probe. The limit is the
+//! availability floor: while a tenth to a half of a service's requests are not served in a window
+//! of two seconds, most of its healthy endpoints must get work in that window. An endpoint with an
+//! isolated failure counts as healthy again after two seconds, so one that is idle for longer than
+//! [`IDLE_AFTER`](crate::belief::IDLE_AFTER) may count as starved.
 //!
-//! What binds the floor may come after the seconds that are looked at, as the loss of all nodes with what is under way. So
-//! the bound holds at each moment, in calm too, for the fewest endpoints that the users may count: of those that
-//! have work they leave out the ones in trouble, and this node sees only a part of that trouble. Those that have been alone
-//! the longest are the most likely to have recovered; they go first as soon as there are more than may rest. Whatever
-//! speaks of need, a queue or a growing part unserved, ends the rest of all of them.
+//! The event that makes the floor apply may follow the evaluated window, for example the loss of
+//! all nodes with the requests in progress. Therefore the bound holds at all times, also in normal
+//! operation, and for the smallest number of endpoints that the availability target may count: it
+//! leaves out endpoints in trouble, and this node sees only a part of that trouble. The endpoints
+//! that have been idle the longest are the most likely to have recovered, so they are probed first
+//! when too many are idle. Any sign that capacity is needed, such as queued requests or a growing
+//! share of unserved ones, makes all idle endpoints due.
 
 use std::time::Duration;
 
 use crate::belief::ALONE_AFTER;
 
-/// Part of the endpoints at work that the users count for sure. The others may be slow, cut off from the platform, or behind
-/// troubled links, which shows in no failure; users have left out eight of 19.
+/// Share of the active endpoints that the availability target surely counts. The others may be
+/// slow, cut off from the platform or behind bad links, which causes no visible failures; eight of
+/// 19 have been left out at once.
 const SURELY_SOUND: f64 = 0.55;
 
-/// One endpoint that may take work, as this decision sees it.
+/// An endpoint that may take work, as input of [`due_after`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Rested {
-    /// Time without work; nothing for one that has had none.
+    /// Time since its last request; `None` if it had none.
     pub(crate) idle: Option<Duration>,
-    /// Whether the users may count it as sound: its last failure is old.
+    /// Whether the availability target may count it as healthy because its last failure is old.
     pub(crate) may_be_sound: bool,
-    /// Whether it has been there for long enough to be sound.
+    /// Whether it has been known for long enough to count as healthy.
     pub(crate) is_settled: bool,
-    /// Whether it could be tried.
+    /// Whether it is in rotation and can be probed.
     pub(crate) is_open: bool,
 }
 
-/// The time without work after which an endpoint is due for the next request, where the service has slots to spare
-/// and the floor wants the share `floor` of its sound endpoints to get work.
+/// Returns the idle time after which an endpoint is due for a probe in a service with spare slots,
+/// where at least the share `floor` of the healthy endpoints must get work.
 pub(crate) fn due_after(endpoints: impl Iterator<Item = Rested>, floor: f64) -> Duration {
     let mut alone = Vec::new();
     let mut out = 0;
@@ -48,10 +52,10 @@
             None => {}
         }
     }
-    // Of those at work and those alone together, the floor wants its share at work.
+    // The floor requires its share of the active and idle endpoints together to be active.
     let allowed = (SURELY_SOUND * at_work as f64 * (1.0 - floor) / floor) as usize;
     let may_rest = allowed.saturating_sub(out);
-    // All that have been alone for longer than the last of those that may rest are due.
+    // All endpoints that have been idle longer than those that may stay idle are due.
     alone.sort_unstable();
     match may_rest.checked_sub(1) {
         Some(last) => alone.get(last).copied().unwrap_or(Duration::MAX),
