--- a/crates/policy/src/dispatcher/said.rs
+++ b/crates/policy/src/dispatcher/said.rs
@@ -1,4 +1,4 @@
-//! What is known of an endpoint by its own words.
+//! What endpoints have advertised about themselves in their answers.
 
 use std::time::Duration;
 
@@ -9,25 +9,27 @@
 use crate::rendezvous::NodeId;
 use crate::time::Time;
 
-/// Longest rest that is kept to. One that wants more says so again.
+/// Longest back-off that is honoured. An endpoint that needs more asks for it again.
 const MAX_REST: Duration = Duration::from_secs(600);
-/// What an endpoint has said is remembered for this long after its entry went from the registry: it may only have lapsed.
+/// How long advertisements are kept after an endpoint's registry entry has gone: the entry may only
+/// have lapsed for a moment.
 const REMEMBERED_FOR: Duration = Duration::from_secs(60);
-/// Endpoints without an entry that are remembered at most; those that went first are forgotten first.
+/// Maximum number of endpoints without an entry whose advertisements are kept; the oldest is
+/// dropped first.
 const MAX_REMEMBERED: usize = 256;
 
-/// What one life of an endpoint has said of itself.
+/// Advertisements of one incarnation of an endpoint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Said {
-    /// Its rate limit.
+    /// Rate limit, and the pacing of sends under it.
     pub(super) pace: Pace,
-    /// It leaves.
+    /// Whether the endpoint has announced that it is leaving.
     pub(super) is_leaving: bool,
     pub(super) rests: Rests,
 }
 
 impl Said {
-    /// Whether it wants no request of a node.
+    /// Whether the endpoint takes no requests of a node.
     pub(super) fn is_closed_to(&self, now: Time, node: NodeId) -> bool {
         self.is_leaving || !self.rests.left(now, node).is_zero()
     }
@@ -37,12 +39,12 @@
     }
 }
 
-/// Until when an endpoint wants nothing from which nodes.
+/// The nodes that an endpoint has asked to back off, and until when.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rests(Vec<(NodeId, Time)>);
 
 impl Rests {
-    /// Takes in that a node is asked for a rest. Returns whether it had none.
+    /// Records that a node is asked to back off. Returns whether it had no back-off before.
     pub(super) fn ask(&mut self, now: Time, node: NodeId, length: Duration) -> bool {
         self.0.retain(|(_, until)| now < *until);
         let until = now + length.min(MAX_REST);
@@ -58,19 +60,19 @@
         }
     }
 
-    /// For how much longer a node is to send nothing.
+    /// Remaining back-off of a node.
     pub(super) fn left(&self, now: Time, node: NodeId) -> Duration {
         let until = self.0.iter().find(|(it, _)| *it == node).map(|(_, until)| *until);
         until.map_or(Duration::ZERO, |it| it.since(now))
     }
 
-    /// Nodes that are asked for a rest now.
+    /// Number of nodes with a back-off.
     pub(super) fn count(&self, now: Time) -> usize {
         self.0.iter().filter(|(_, until)| now < *until).count()
     }
 }
 
-/// What lives of endpoints had said whose entries went from the registry, by identity and start.
+/// Advertisements of endpoints whose registry entries have gone, by identity and start time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Remembered(FxHashMap<(Name, u64), Absent>);
 
@@ -81,7 +83,7 @@
 }
 
 impl Remembered {
-    /// Remembers what a life of an endpoint had said, if it matters.
+    /// Keeps the advertisements of an incarnation of an endpoint, if there are any.
     pub(super) fn keep(&mut self, now: Time, id: &Name, started_ms: u64, said: &Said) {
         if !said.is_anything(now) {
             return;
@@ -94,7 +96,8 @@
         self.0.insert((id.clone(), started_ms), Absent { said: said.clone(), since: now });
     }
 
-    /// What a life of an endpoint that is back had said.
+    /// Returns and removes the advertisements of an incarnation that is back, unless they are too
+    /// old.
     pub(super) fn take(&mut self, now: Time, id: &Name, started_ms: u64) -> Option<Said> {
         if self.0.is_empty() {
             return None;
