--- a/crates/policy/src/dispatcher/suspicion.rs
+++ b/crates/policy/src/dispatcher/suspicion.rs
@@ -1,8 +1,9 @@
-//! What a dispatcher does about requests under which endpoints have ended.
+//! Restricts requests during which endpoints have crashed.
 //!
-//! Such a request runs on one endpoint at a time, so that its copies do not end one endpoint each before the first
-//! crash is known, and never beside another such request, so that the next crash tells which of them it was. A
-//! harmless one loses the time until its next answer by that and nothing else.
+//! Such a request runs on one endpoint at a time, so that its copies do not crash several endpoints
+//! before the first crash is known. It never runs on the same endpoint as another such request, so
+//! that the next crash identifies the one at fault. A harmless request only loses the time until it
+//! is answered next.
 
 use std::time::Duration;
 
@@ -13,26 +14,26 @@
 use crate::suspects::{Rejection, RequestKey, RunEnd};
 use crate::time::Time;
 
-/// What several nodes tell of one and the same crash comes within this time.
+/// Reports of the same crash by several nodes arrive within this time.
 const SAME_CRASH: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
-    /// For how much longer a request is rejected.
+    /// Remaining time for which a request is rejected; `None` if it is not.
     pub fn rejected(&self, now: Time, request: RequestKey) -> Option<Duration> {
         self.suspects.rejected(now, request)
     }
 
-    /// Takes in a rejection by another node.
+    /// Applies a rejection decided by another node.
     pub fn reject(&mut self, now: Time, it: Rejection) {
         self.has_rejected |= self.suspects.reject(now, it);
     }
 
-    /// Requests that have come to be rejected here since the last call.
+    /// Rejections decided here since the last call.
     pub fn take_rejections(&mut self) -> Vec<Rejection> {
         self.suspects.take_news()
     }
 
-    /// Learns how a send ended, `elapsed` after it began, for which another dispatcher gave the slot.
+    /// Records the end of a send, `elapsed` after it began, whose slot another dispatcher granted.
     pub fn ran(&mut self, now: Time, request: RequestKey, end: RunEnd, elapsed: Duration) {
         match end {
             RunEnd::Answered => self.suspects.answered(now, request),
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The same for a slot of this dispatcher.
+    /// Records the end of a send whose slot this dispatcher granted.
     pub(super) fn suspect(&mut self, now: Time, permit: &Permit, kind: Kind) {
         match kind {
             Kind::Answered => self.suspects.answered(now, permit.request),
@@ -56,22 +57,22 @@
         self.has_rejected = true;
     }
 
-    /// Whether one of the slots is held by the request.
+    /// Whether the request is open on an endpoint.
     pub(super) fn is_open(&self, request: RequestKey) -> bool {
         self.loads.iter().any(|it| it.requests().any(|it| it == request))
     }
 
-    /// Whether an endpoint runs a request under which another one has ended.
+    /// Whether an endpoint runs a request during which another endpoint has crashed.
     pub(super) fn runs_watched(&self, load: &Load) -> bool {
         load.requests().any(|it| self.suspects.is_watched(it))
     }
 
-    /// The request of an ask, if an endpoint has ended under it.
+    /// The request of an ask, if an endpoint has crashed during it.
     pub(super) fn watched(&self, ask: &Ask) -> Option<RequestKey> {
         self.suspects.is_watched(ask.request).then_some(ask.request)
     }
 
-    /// Answers those that wait for a slot and are sent no more.
+    /// Removes rejected requests from the queue and returns replies for them.
     pub(super) fn turn_away_rejected(&mut self, now: Time) -> Vec<Settled> {
         if !std::mem::take(&mut self.has_rejected) {
             return Vec::new();
