--- a/crates/policy/src/dispatcher/waiting.rs
+++ b/crates/policy/src/dispatcher/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot.
+//! Queued requests: admission, order and grants of free slots.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,20 +15,21 @@
 use crate::suspects::RequestKey;
 use crate::time::Time;
 
-/// Waiting requests for each slot at most.
+/// Maximum number of queued requests per slot.
 const QUEUE_PER_SLOT: f64 = 8.0;
-/// Fewest slots that a wait is reckoned with.
+/// Lower bound for the number of slots in an estimate of the wait.
 const LEAST_SLOTS: f64 = 0.05;
-/// Those that wait for a large service are looked at this often at most: a look costs as much as the service has
+/// Minimum time between two passes over the queue of a large service. A pass evaluates all
 /// endpoints, and slots come free as often as there are requests.
 const DRAIN_EVERY: Duration = Duration::from_millis(5);
-/// Endpoints from which on a service is large.
+/// Number of endpoints from which on a service is large.
 const LARGE: usize = 512;
-/// Waiting requests at most, whatever the number of slots, so that a turn of the queue stays short.
+/// Maximum number of queued requests, whatever the number of slots, which bounds the cost of a pass
+/// over the queue.
 const MAX_QUEUE: usize = 512;
 
 impl Dispatcher {
-    /// Lets an ask wait for one of `slots` that may be used now, or refuses it.
+    /// Queues an ask or refuses it. `slots` is the number of slots that may be used now.
     pub(super) fn enqueue(&mut self, now: Time, ask: Ask, slots: f64) -> Reply {
         let wait = self.expected_wait(self.queue.ahead_of(ask.priority), slots);
         let most = (slots * QUEUE_PER_SLOT).ceil() as usize;
@@ -53,12 +54,12 @@
         Reply::Queued
     }
 
-    /// How long a request waits with so many ahead of it.
+    /// Expected wait of a request behind `ahead` others.
     pub(super) fn expected_wait(&self, ahead: usize, slots: f64) -> Duration {
         self.mean_hold.mul_f64((ahead + 1) as f64 / slots.max(LEAST_SLOTS))
     }
 
-    /// Gives free slots to those that wait.
+    /// Grants free slots to queued requests.
     pub(super) fn drain(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
         let is_too_soon = self.loads.len() >= LARGE && now.since(self.drained) < DRAIN_EVERY;
         if self.queue.len() == 0 || is_too_soon {
@@ -73,8 +74,8 @@
                 break;
             }
             let Some(next) = self.next_waiting(&survey) else { break };
-            // The endpoint is chosen while the request still counts as waiting: how urgent it is
-            // depends on the queue, and a request that has left it must not be lost.
+            // Choose the endpoint before taking the request off the queue: the choice depends on
+            // the length of the queue, and a request that has left the queue must get a reply.
             let ask = self.queue.get(next);
             let Some(choice) = self.choose(&survey, ask, || rng.random()) else { break };
             let ask = self.queue.take(next).item;
@@ -86,8 +87,9 @@
         settled
     }
 
-    /// The next request in order for which there is an endpoint now. Requests that differ in nothing that
-    /// bears on the choice have the same answer, and most of those that wait do.
+    /// Position of the next request in queue order that an endpoint can take now. Requests that
+    /// agree in everything that affects the choice share one result, and most queued requests do
+    /// agree.
     fn next_waiting(&self, survey: &Survey) -> Option<usize> {
         let by_node = self.judge.has_path_faults() || self.has_rests(survey.now());
         let may_repeat = self.budget.covers(survey.now());
@@ -106,8 +108,8 @@
         })
     }
 
-    /// Gives back what is reserved for repeats that do not wait any more; those that are granted a slot
-    /// are counted when that happens.
+    /// Gives back the repeat budget reserved for asks that leave the queue. Granted asks spend
+    /// their budget when the slot is granted.
     pub(super) fn leave_queue<'a>(&mut self, asks: impl Iterator<Item = &'a Ask>) {
         asks.filter(|it| it.send == SendKind::Further).for_each(|_| self.budget.give_back());
     }
@@ -118,11 +120,12 @@
     }
 }
 
-/// All of an ask that bears on whether there is an endpoint for it.
+/// All properties of an ask that affect whether an endpoint can take it.
 #[derive(PartialEq)]
 struct ChoiceKey<'a> {
     failure_domain: u64,
-    /// Paths from some nodes may be broken.
+    /// The asking node, where paths from some nodes may be broken or endpoints have asked nodes to
+    /// back off.
     node: Option<NodeId>,
     repeatable: bool,
     is_last: bool,
@@ -133,7 +136,7 @@
     avoid: &'a [SocketAddr],
     closed: &'a [SocketAddr],
     places: Option<&'a Places>,
-    /// The request, if an endpoint has ended under it.
+    /// The request, if an endpoint has crashed during it.
     watched: Option<RequestKey>,
 }
 
