--- a/crates/policy/src/dispatcher/working_set.rs
+++ b/crates/policy/src/dispatcher/working_set.rs
@@ -1,13 +1,17 @@
-//! Which endpoints of a service are asked often enough to be known.
+//! Concentrates a low request rate on a working set of endpoints, so that there is recent evidence
+//! of their health.
 //!
-//! Answers a load that is thin: a service with so many more endpoints than requests that each is asked less than once in
-//! the seconds for which an outcome says something. Spread evenly, such work is placed blindly: where three endpoints of
-//! ten fail, it fails as often. It then goes to a working set, whose members the load itself picks: whoever was
-//! used last goes first, so that as many are in use as the load needs at once, and each of them is asked several times a second.
-//! The others are the reserve. A member that fails goes behind them, and one of them takes its place.
+//! The case this addresses: a service with so many more endpoints than requests that each endpoint
+//! gets less than one request within the few seconds for which an outcome is evidence. Spread
+//! evenly, such requests are placed blindly: where three of ten endpoints fail, three of ten
+//! requests fail. Instead, requests go to the endpoint that was used last among the free ones, so
+//! that only as many endpoints are in use as the load needs at once, and each of them gets several
+//! requests a second. The other endpoints are the reserve. A member that fails ranks behind the
+//! reserve, and an endpoint of the reserve replaces it.
 //!
-//! The users' floor wants work at most endpoints in any two seconds in which a part is not served. Spreading that is what
-//! keeps it, and so work is spread evenly wherever it is enough to reach them.
+//! The availability floor requires work at most endpoints in any two seconds in which a part of the
+//! requests is not served. Only even spreading achieves that, so requests are spread evenly
+//! whenever there are enough of them to reach the endpoints.
 
 use std::time::Duration;
 
@@ -18,40 +22,45 @@
 use crate::permit::Ask;
 use crate::time::Time;
 
-/// The users' floor looks at stretches of this length.
+/// Window in which the availability floor is evaluated.
 const STRETCH: Duration = Duration::from_secs(2);
-/// Sends for each endpoint that the floor wants in a stretch: perfect spreading is out of reach.
+/// Sends per endpoint that the floor requires, within one window, below which a working set is
+/// used. Perfectly even spreading is out of reach, so one send for each endpoint is not enough.
 const REACH: f64 = 1.2;
-/// Once there is a working set it stays until this many sends come for each endpoint in a stretch.
+/// Sends per endpoint, of all endpoints, within one window above which the working set is given up.
 const REACH_AGAIN: f64 = 1.0;
-/// What was sent in less time says little about a rate.
+/// Shortest time span from which a rate is computed.
 const LEAST_TIME: Duration = Duration::from_millis(10);
-/// An endpoint stays a member for this long without work: what was known of it has lapsed then.
+/// An endpoint stays a member for this long without work; after that the evidence about it has
+/// expired.
 const MEMBER_FOR: Duration = Duration::from_secs(4);
-/// Members are dropped this often.
+/// How often idle members are dropped.
 const REFRESH: Duration = Duration::from_millis(50);
-/// Endpoints of the reserve that are looked at for one request.
+/// Maximum number of reserve endpoints evaluated for one request.
 const RESERVE_LOOKS: usize = 24;
-/// Endpoints without any work so far that are looked at for one request.
+/// Maximum number of recently joined endpoints evaluated for one request.
 const NEWCOMER_LOOKS: usize = 8;
-/// Endpoints that join get their first work spread over this time, so that unknown ones are a small part of what is used.
+/// Recently joined endpoints get their first requests spread over this time, so that endpoints
+/// without evidence are a small part of those in use.
 const INTRODUCED_IN: Duration = Duration::from_secs(5);
 
-/// How work is spread over the endpoints of a service.
+/// How requests are spread over the endpoints of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Spread {
-    /// Over all, so that none is left alone.
+    /// Over all endpoints, so that none stays idle.
     #[default]
     Even,
-    /// Over as many as the load needs.
+    /// Over as many endpoints as the load needs.
     WorkingSet,
 }
 
-/// Sends of the last seconds.
+/// Exponentially decaying rate of sends.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Rate {
-    /// Sends, each worth less the older it is.
+    /// Number of sends; older ones count less.
+    /// Time of the last send.
     recent: f64,
+    /// Time of the first send.
     at: Time,
     since: Option<Time>,
 }
@@ -63,7 +72,7 @@
         self.since.get_or_insert(now);
     }
 
-    /// Sends in a stretch at the present rate; nothing before the first one.
+    /// Sends in one window at the present rate; `None` before the first send.
     fn in_stretch(&self, now: Time) -> Option<f64> {
         let known = now.since(self.since?).max(LEAST_TIME);
         let recent = self.recent * kept(now.since(self.at));
@@ -75,21 +84,24 @@
     (-age.as_secs_f64() / STRETCH.as_secs_f64()).exp()
 }
 
-/// The members of a working set and its reserve, by their positions.
+/// Members and reserve of a working set, by position in the rotation.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkingSet {
     pub(super) spread: Spread,
+    /// Endpoints with work in the last `MEMBERSHIP`; may contain some whose membership has just
+    /// ended.
     members: Vec<u32>,
-    /// All endpoints by the hash of their failure domain, and where the next look at the reserve begins.
+    /// All endpoints by the hash of their failure domain, each list with the index from which the
+    /// next request looks for reserve endpoints.
     domains: FxHashMap<u64, (Vec<u32>, usize)>,
-    /// Those that have joined and had no work yet.
+    /// Recently joined endpoints without a request so far.
     newcomers: Vec<u32>,
-    /// When members were last dropped.
+    /// When idle members were last dropped.
     refreshed: Time,
 }
 
 impl WorkingSet {
-    /// Follows a change of the endpoints.
+    /// Applies a change of the endpoints.
     pub(super) fn rebuild(&mut self, now: Time, loads: &[Load]) {
         self.domains.clear();
         self.newcomers.clear();
@@ -103,22 +115,22 @@
         self.refresh(now, loads);
     }
 
-    /// Drops members that have had no work for long.
+    /// Drops members that have been idle for too long.
     fn refresh(&mut self, now: Time, loads: &[Load]) {
         self.refreshed = now;
         self.members.retain(|i| is_member(now, &loads[*i as usize]));
         self.newcomers.retain(|i| loads[*i as usize].is_newcomer);
     }
 
-    /// An endpoint gets work.
+    /// Records that an endpoint gets a request.
     pub(super) fn note(&mut self, now: Time, i: usize, load: &Load) {
         if !is_member(now, load) {
             self.members.push(i as u32);
         }
     }
 
-    /// The endpoints to look at for a request: the members, a few of the reserve near the asker, and newcomers whose turn
-    /// has come.
+    /// Endpoints to evaluate for a request: the members, a few of the reserve near the asker, and
+    /// recently joined endpoints that are due for their first request.
     fn candidates(&mut self, now: Time, ask: &Ask, loads: &[Load]) -> Vec<u32> {
         let mut all = self.members.clone();
         let is_due = |i: &&u32| loads[**i as usize].is_due_as_newcomer(now);
@@ -140,14 +152,14 @@
 }
 
 impl Load {
-    /// Whether it has joined, had no work, and it is its turn.
+    /// Whether it has joined recently, had no request, and is due for the first one.
     pub(super) fn is_due_as_newcomer(&self, now: Time) -> bool {
         self.is_newcomer && self.age(now) > INTRODUCED_IN.mul_f64(self.turn)
     }
 }
 
 impl Dispatcher {
-    /// Decides how work is spread.
+    /// Decides how requests are spread.
     pub(super) fn look_how_to_spread(&mut self, now: Time) {
         let Some(sends) = self.rate.in_stretch(now) else { return };
         let endpoints = self.loads.len() as f64 * self.floor_share;
@@ -161,7 +173,7 @@
         }
     }
 
-    /// The endpoints to look at first for a request; nothing for all.
+    /// Endpoints to evaluate first for a request; `None` if all are to be evaluated.
     pub(super) fn candidates(&mut self, now: Time, ask: &Ask) -> Option<Vec<u32>> {
         let is_calm = self.queue.len() == 0;
         let has_set = self.working_set.spread == Spread::WorkingSet;
