--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request gets, and what failures mean for the choice.
+//! Which endpoint a request gets, and how failures affect the choice.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     Time, stable_hash,
 };
 
-/// The first digit of the port's second half names the failure domain of the fixture.
+/// Failure domain of a granted endpoint. The fixture derives ports from failure domains.
 fn domain_of(reply: &Reply) -> &'static str {
     match reply {
         Reply::Granted(grant) if grant.addr.port() < 1_100 => "a",
@@ -51,7 +51,7 @@
             .map(|it| matches!(it, Reply::Granted(grant) if grant.addr == bad.addr))
             .collect()
     };
-    // The slots of the other endpoint go first; then those that cannot wait take what is free.
+    // The slots of the other endpoint are taken first, then requests that cannot wait use this one.
     assert_eq!(at_bad(1..4, SECOND), [false; 3]);
     assert_eq!(at_bad(4..7, Duration::ZERO), [true; 3]);
     let later = Time(0) + SECOND * 8;
@@ -66,7 +66,7 @@
     let budget = BudgetLimits { ratio: 0.0, extra: 8.0, ..BUDGET };
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], budget);
     assert!(matches!(dispatcher.ask(Time(0), ask(8, true), &mut rng), Reply::Granted(_)));
-    // The fixed part accrues from then on.
+    // The fixed share of the budget accrues from the first ask on.
     let now = Time(0) + SECOND * 9;
     let replies: Vec<_> = (0..5)
         .map(|seq| Ask { send: SendKind::Further, ..ask(seq, true) })
@@ -97,13 +97,13 @@
     it.endpoints.remove(0);
     dispatcher.reconfigure(Time(1), &it, &[TERMS]);
     assert!((0..2).all(|i| dispatcher.evidence_of(Time(1), i).in_use == 1));
-    // The same address in another life is another endpoint.
+    // The same address with another identity is another endpoint.
     it.endpoints[0].id = "i-other".into();
     dispatcher.reconfigure(Time(2), &it, &[TERMS]);
     assert_eq!(dispatcher.evidence_of(Time(2), 0).in_use, 0);
 }
 
-/// Times at which the sick among `n` endpoints are tried while all else is served.
+/// Times at which the `sick` unhealthy ones among `n` endpoints are tried while all others answer.
 fn trials(n: usize, sick: usize) -> Vec<Vec<Time>> {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[n], 1, Bias::Speed);
@@ -130,9 +130,10 @@
     trials.windows(2).map(|it| it[1].since(it[0]).as_millis() as u64).collect()
 }
 
-/// While none of its work can be sent again, an endpoint that goes on failing is left alone for as long
-/// as the floor allows any of them, and no longer: the users count it as well two seconds after its last
-/// failure, and as idle after two more. Endpoints that are known for longer may rest; see `rest.rs`.
+/// Where no request may be repeated, an endpoint that keeps failing stays idle for as long as the
+/// floor allows and no longer. The availability target counts an endpoint as healthy two seconds
+/// after its last failure and as starved after two more. Endpoints that have been known for longer
+/// may stay idle for longer; see `idle.rs`.
 #[test]
 fn a_sick_endpoint_is_left_alone_for_as_long_as_the_floor_allows() {
     for (n, sick) in [(16, 1), (10, 3), (19, 5)] {
@@ -145,8 +146,8 @@
     }
 }
 
-/// A recovered endpoint is capacity that nobody uses until someone tries it, and work that can be sent
-/// again loses little by trying.
+/// A recovered endpoint is unused capacity until a request tries it, and repeatable requests lose
+/// little by trying.
 #[test]
 fn work_that_can_be_sent_again_tries_an_endpoint_sooner_and_first() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -207,8 +208,8 @@
     assert_eq!(taken_over.set_back(Time(1)).collect::<Vec<_>>(), [sick.addr]);
 }
 
-/// Sick endpoints fail fast and so always had free slots: they got most of the work that had to go
-/// to one of the last choices.
+/// Guards against ranking last-resort endpoints by free slots: unhealthy endpoints fail fast, so
+/// they had the most free slots and got most of this work.
 #[test]
 fn among_the_last_choices_the_one_that_failed_least_goes_first() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -240,7 +241,7 @@
         let seen = seen(1, kind, elapsed);
         it.observe(now, &service.endpoints[i].id, seen);
     };
-    // Both have had work, so that none is due for its first.
+    // Both have had a request, so that neither is due for its first one.
     for seq in 0..2 {
         dispatcher.ask(Time(0), ask(seq, true), &mut rng);
     }
@@ -265,8 +266,9 @@
     assert!((820..860).any(|ms| choice(&mut dispatcher, ms)), "it is used again");
 }
 
-/// Nodes that would dispatch next hear of failures only. They told everyone that half of the
-/// endpoints were sick, and the dispatching node used those last.
+/// Nodes that are next in line as dispatchers receive only reports of failures. They once reported
+/// half of the endpoints as unhealthy to all nodes, and the dispatching node used these endpoints
+/// last.
 #[test]
 fn a_dispatcher_that_hands_out_nothing_is_not_in_charge() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -281,7 +283,8 @@
     assert!(!dispatcher.is_in_charge(Time(0) + SECOND * 2));
 }
 
-/// Both sends of a download went to endpoints that were known to fail, because they were near.
+/// Guards against preferring endpoints in the own failure domain for further sends: both sends of a
+/// download went to near endpoints that were known to fail.
 #[test]
 fn a_long_answer_is_asked_for_elsewhere_after_one_failure_near() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -304,7 +307,8 @@
     assert!(matches!(&second, Reply::Granted(it) if it.tier == Tier::Far), "{second:?}");
 }
 
-/// Sick endpoints fail at once, so one of them took a large part of the requests while much failed.
+/// Unhealthy endpoints fail at once. Without a limit, one of them got a large part of the requests
+/// while many requests failed.
 #[test]
 fn while_much_fails_an_ejected_endpoint_is_tried_once_in_a_while() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -334,7 +338,7 @@
     assert!((1..=6).contains(&tries), "{tries} tries in 10 s");
 }
 
-/// First sends went to endpoints known to fail, and the budget for another send was spent.
+/// First sends went to endpoints known to fail although the budget for another send was spent.
 #[test]
 fn a_first_send_waits_as_a_last_one_while_the_budget_is_short() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -346,7 +350,8 @@
         let seen = seen(1, Kind::Failed, elapsed);
         (0..3).for_each(|_| dispatcher.observe(Time(0), &service.endpoints[0].id, seen));
         (0..3).for_each(|seq| drop(dispatcher.ask(Time(1), ask(seq, true), &mut rng)));
-        // A wait of a third of 100 ms lies between a twentieth and a half of this objective.
+        // The expected wait of a third of 100 ms is more than the longest wait of a first send, and
+        // less than that of a last send, for this objective.
         let objective = Duration::from_millis(200);
         match dispatcher.ask(Time(1), Ask { objective, ..ask(9, true) }, &mut rng) {
             Reply::Granted(it) => Some(it.tier),
@@ -357,7 +362,8 @@
     assert_eq!(tier_of_a_send_that_finds_the_good_one_full(0.0), None, "it waits");
 }
 
-/// Hedged requests were cancelled before they were late, so a stalled service told nobody.
+/// Requests that lose to their hedges are cancelled before they count as stalled. Without evidence
+/// from them, a stalled service went unnoticed.
 #[test]
 fn an_endpoint_whose_requests_are_beaten_by_their_hedges_is_soon_the_last_choice() {
     let service = service(&[3], 1, Bias::Speed);
@@ -374,8 +380,8 @@
     assert_eq!(dispatcher.set_back(Time(0)).count(), 1);
 }
 
-/// While nothing better was free, work went to endpoints known to fail, beside free slots of others of
-/// which nothing worse was known than one stray failure.
+/// Requests went to endpoints known to fail although endpoints with a single isolated failure had
+/// free slots.
 #[test]
 fn the_other_slots_of_a_doubtful_endpoint_go_before_one_that_is_known_to_fail() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -390,7 +396,7 @@
         dispatcher.observe(now, &doubtful.id, it);
     }
     (0..3).for_each(|_| dispatcher.observe(now, &sick.id, fails));
-    // Shorter than the time that a slot is held, so that nobody waits for the first one.
+    // Shorter than the time that a slot is held, so that no request waits for the first slot.
     let objective = Duration::from_millis(50);
     let unsafe_ask = |seq| Ask { repeatable: false, is_last: true, objective, ..ask(seq, true) };
     let mut taken = |seq| match dispatcher.ask(now, unsafe_ask(seq), &mut rng) {
@@ -402,7 +408,8 @@
     assert_eq!(taken(3), (true, Tier::Last));
 }
 
-/// Endpoints that join are nobody's choice while others have just answered, unless they come first.
+/// Endpoints that have just answered rank before endpoints without evidence, so a recently joined
+/// endpoint got no requests until idle ones were put first.
 #[test]
 fn an_endpoint_that_has_had_no_work_for_long_is_due() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -422,7 +429,7 @@
     assert_eq!(used.len(), 4);
 }
 
-/// Hedges that found no good endpoint free used up the budget without a send.
+/// Hedges that were refused because no good endpoint was free used up the repeat budget.
 #[test]
 fn a_hedge_that_is_not_granted_costs_nothing() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -440,7 +447,8 @@
     assert_eq!(dispatcher.repeats(Time(0)).spent, 1.0);
 }
 
-/// Both sends of a lookup met endpoints that hung: the second went to any good one.
+/// Both sends of a lookup went to endpoints that hung, because the second send went to any good
+/// endpoint.
 #[test]
 fn a_further_send_goes_to_the_endpoint_least_likely_to_be_sick() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -451,7 +459,7 @@
     let now = Time(0) + SECOND;
     service.endpoints.iter().for_each(|it| dispatcher.observe(now, &it.id, answered));
     (0..3).for_each(|_| dispatcher.observe(now, &surest.id, answered));
-    // Those that ask have parts of the budget.
+    // Nodes have a share of the repeat budget only after asking for first sends.
     (10..15).for_each(|seq| drop(dispatcher.ask(now, ask(seq, true), &mut rng)));
     (10..15).for_each(|seq| drop(dispatcher.cancel(now, ask(seq, true).id, &mut rng)));
     for seq in 0..2 {
