--- a/crates/policy/src/tests/dispatcher.rs
+++ b/crates/policy/src/tests/dispatcher.rs
@@ -1,3 +1,5 @@
+//! Grants, the queue and the lifetime of permits.
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -14,11 +16,11 @@
     now: Time,
     rng: StdRng,
     next: u64,
-    /// Permits that their askers believe to hold.
+    /// Permits that the askers consider granted.
     held: Vec<PermitId>,
     /// Endpoints that are leaving.
     left: BTreeSet<usize>,
-    /// Asks that wait, with their deadlines.
+    /// Queued asks with their deadlines.
     waiting: BTreeMap<PermitId, Time>,
 }
 
@@ -111,7 +113,7 @@
                 self.now = self.now + Duration::from_millis(*ms);
                 let settled = self.dispatcher.tick(self.now, &mut self.rng);
                 self.settle(settled);
-                // Long requests are renewed by the nodes that hold them.
+                // The nodes that hold permits renew them for long requests.
                 self.held.iter().for_each(|id| self.dispatcher.renew(self.now, *id));
             }
             Event::Leave(i) => {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Asking twice gives the same answer and takes no second slot.
+    /// Asking twice gives the same reply and takes no second slot.
     fn ask_again(&mut self) {
         let Some(id) = self.held.last().copied() else { return };
         let again = Ask { id, ..ask(id.seq, true) };
@@ -219,8 +221,8 @@
     assert!(matches!(reply, Reply::Refused { retry_after } if !retry_after.is_zero()), "{reply:?}");
 }
 
-/// A request left the queue because it was urgent, was no longer urgent in a shorter queue, and got
-/// no reply at all. Found by `slots_and_waiters_are_conserved`.
+/// A request was taken off the queue because of its urgency, was no longer urgent given the shorter
+/// queue, and never got a reply. Found by `slots_and_waiters_are_conserved`.
 #[test]
 fn a_request_that_leaves_the_queue_always_gets_a_reply() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -235,7 +237,7 @@
         let hurried = Ask { left: Duration::from_millis(60), ..ask(seq, true) };
         waiting += usize::from(dispatcher.ask(Time(0), hurried, &mut rng) == Reply::Queued);
     }
-    // A shed request makes its endpoint one of the last tier, which only urgent ones take.
+    // A shed request puts its endpoint into the last tier, which only urgent requests use.
     let mut settled = 0;
     for it in &held {
         let now = Time(1_000);
@@ -261,7 +263,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[3], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
-    // All endpoints prove themselves, then the one with the first permit stalls.
+    // All endpoints answer a few requests; then the endpoint of the first permit fails.
     for round in 0..3 {
         for seq in 0..3 {
             let ask = ask(round * 10 + seq, false);
