--- a/crates/policy/src/tests/rest.rs
+++ b/crates/policy/src/tests/rest.rs
@@ -1,5 +1,5 @@
-//! For how long endpoints that failed are left alone: what bookings are lost by trying them, and whether the users'
-//! floor holds.
+//! How long failed endpoints stay idle: how many bookings are lost by probing them, and whether the
+//! availability floor holds.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -14,18 +14,18 @@
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
 use crate::{Ask, Dispatcher, Kind, PermitId, Reply, RouteTerms, SendKind, Settled, Time};
 
-/// How endpoints fall sick.
+/// How endpoints become unhealthy.
 #[derive(Clone, Copy, Debug)]
 struct Sickness {
-    /// Share of the endpoints that is sick at a time.
+    /// Share of the endpoints that is unhealthy at a time.
     share: f64,
-    /// After this long others are.
+    /// Time after which the set of unhealthy endpoints changes.
     lasts: Duration,
-    /// Share of the requests that fails at a sick one.
+    /// Share of the requests that fails at an unhealthy endpoint.
     fails: f64,
 }
 
-/// All endpoints of a failure domain fail then.
+/// A period in which a share of the endpoints fails, as when a failure domain is lost.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from: Time,
@@ -33,18 +33,18 @@
     share: f64,
 }
 
-/// The route leads to other services too, which do not serve all that comes to them.
+/// The route also leads to other services, which do not serve all of their requests.
 #[derive(Clone, Copy, Debug)]
 struct Split {
-    /// Part of the route's requests that come to this service.
+    /// Share of the route's requests that come to this service.
     share: f64,
-    /// Part of the others that is not served.
+    /// Share of the other requests that is not served.
     unserved: f64,
-    /// From then on.
+    /// Start of the failures at the other services.
     from: Time,
 }
 
-/// A service under load for some seconds.
+/// Load on a service for some seconds.
 #[derive(Clone, Debug)]
 pub(super) struct Load {
     endpoints: usize,
@@ -52,16 +52,17 @@
     use_of_slots: f64,
     sickness: Sickness,
     outage: Option<Outage>,
-    /// Share of the work that may be sent again.
+    /// Share of the requests that may be repeated.
     repeatable: f64,
     split: Option<Split>,
-    /// Share of the endpoints that are in trouble which the dispatcher does not see. The users do not count them.
+    /// Share of the endpoints in trouble that the dispatcher does not see. The availability target
+    /// does not count these endpoints.
     troubled: f64,
     seconds: u64,
     seed: u64,
 }
 
-/// One send as the users see it, or a refusal.
+/// One send or refusal, as the availability target counts it.
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     at: Time,
@@ -69,7 +70,7 @@
     end: End,
 }
 
-/// What a send meant for its request.
+/// Result of a send for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Served,
@@ -81,19 +82,19 @@
 const WORK: Duration = Duration::from_millis(230);
 const STRAY: f64 = 0.012;
 const FLOOR: f64 = 0.7;
-/// Of fewer sound endpoints a share says little: one of three may go without work by chance.
+/// Fewest healthy endpoints for which the floor is checked: one of three may get no work by chance.
 const MIN_SOUND: usize = 8;
-/// Requests for each endpoint in two seconds below which chance alone leaves some of them without.
+/// Requests per endpoint in two seconds below which some endpoints get none by chance.
 const ENOUGH: usize = 4;
 
-/// Share of the requests that were not served.
+/// Share of the requests that was not served.
 fn unserved_share<'a>(seen: impl Iterator<Item = &'a Seen>) -> f64 {
     let ended: Vec<_> = seen.filter(|it| it.end != End::SentAgain).collect();
     let unserved = ended.iter().filter(|it| it.end == End::Unserved).count();
     unserved as f64 / ended.len().max(1) as f64
 }
 
-/// A calm day; its size and seed are said where it is played.
+/// Normal operation; tests set the size and the seed.
 const CALM: Load = Load {
     endpoints: 0,
     use_of_slots: 0.0,
@@ -107,12 +108,12 @@
 };
 
 impl Load {
-    /// Bookings on a calm day.
+    /// Bookings in normal operation.
     pub(super) fn bookings(endpoints: usize, use_of_slots: f64, seconds: u64) -> Self {
         Self { endpoints, use_of_slots, seconds, seed: 1, ..CALM }
     }
 
-    /// Sends in two seconds below which the floor is not looked at.
+    /// Number of sends in two seconds below which the floor is not checked.
     fn enough(&self) -> usize {
         let each = if self.split.is_some() { 1 } else { ENOUGH };
         each * self.endpoints
@@ -122,16 +123,16 @@
 pub(super) struct World {
     load: Load,
     rng: StdRng,
-    /// Until when an endpoint is as it is, and whether it is sick.
+    /// Per endpoint: the end of its current period, and whether it is unhealthy in that period.
     health: Vec<(Time, bool)>,
-    /// Ends of what is under way.
+    /// Ends of the open requests: time, sequence number, endpoint, and whether it is served.
     ends: BinaryHeap<Reverse<(Time, u64, usize, bool)>>,
     seen: Vec<Seen>,
-    /// First sends of requests that may be sent again.
+    /// First sends of requests that may be repeated.
     repeatable: HashSet<u64>,
-    /// When each endpoint has failed.
+    /// Times of the failures of each endpoint.
     failures: Vec<Vec<Time>>,
-    /// Endpoints that were looked at for all requests.
+    /// Endpoints evaluated for all requests together.
     pub(super) looks: u64,
 }
 
@@ -161,7 +162,7 @@
         self.health[i].1 || is_out
     }
 
-    /// The endpoint begins with a request: sick ones fail as soon as the work begins.
+    /// Starts a request on an endpoint. Unhealthy endpoints fail as soon as the work begins.
     fn begin(&mut self, now: Time, seq: u64, i: usize) {
         let fails = if self.is_sick(now, i) { self.load.sickness.fails } else { STRAY };
         let fails = self.rng.random_bool(fails);
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Plays the load against one dispatcher that knows all.
+    /// Plays the load against one dispatcher that gets all evidence.
     pub(super) fn play(mut self) -> Self {
         let per_domain = self.load.endpoints.div_ceil(4);
         let sizes: Vec<_> = (0..4)
@@ -249,7 +250,7 @@
                 self.reply(next, &dispatcher, id, reply);
                 untold += self.elsewhere(next);
                 next = next + every;
-                // The odd number that follows is for a second send.
+                // The odd number in between is for a second send.
                 seq += 2;
             }
         }
@@ -258,12 +259,12 @@
         self
     }
 
-    /// Endpoints that got work.
+    /// Number of endpoints that got work.
     pub(super) fn reached(&self) -> usize {
         self.seen.iter().filter_map(|it| it.endpoint).collect::<HashSet<_>>().len()
     }
 
-    /// The requests of the route that go to other services meanwhile; returns how many are not served.
+    /// Adds the route's requests to other services; returns how many are not served.
     fn elsewhere(&mut self, at: Time) -> u32 {
         let Some(split) = self.load.split else { return 0 };
         let others = (1.0 / split.share - 1.0) as u32;
@@ -275,20 +276,21 @@
         unserved
     }
 
-    /// Share of the requests sent from `from` on that is not served.
+    /// Share of the requests sent from `from` on that was not served.
     pub(super) fn unserved(&self, from: Time) -> f64 {
         unserved_share(self.seen.iter().filter(|it| it.at >= from))
     }
 
-    /// The first two seconds in which more sound endpoints go without work than the floor leaves, whether it binds
-    /// or not: what binds it may come at any moment after them.
+    /// The first window of two seconds in which more healthy endpoints are idle than the floor
+    /// allows, whether the floor applies or not: the event that makes it apply may come right after
+    /// the window.
     fn too_many_alone(&self) -> Option<String> {
         let window = SECOND * 2;
         let steps = (self.load.seconds - 8) * 10;
         (0..steps).map(|i| Time(0) + SECOND * 6 + Duration::from_millis(100 * i)).find_map(|from| {
             let to = from + window;
             let troubled = (self.load.troubled * self.load.endpoints as f64) as usize;
-            // One that fails by itself counts as sound again after two seconds.
+            // An endpoint with an isolated failure counts as healthy again after two seconds.
             let failed =
                 |i: usize| self.failures[i].iter().any(|it| *it + window > from && *it < to);
             let sound: Vec<_> = (troubled..self.load.endpoints).filter(|it| !failed(*it)).collect();
@@ -303,7 +305,7 @@
         })
     }
 
-    /// The first two seconds in which the users' floor binds and is not kept.
+    /// The first window of two seconds in which the availability floor applies and is violated.
     fn below_floor(&self) -> Option<String> {
         let window = SECOND * 2;
         let steps = (self.load.seconds - 4) * 10;
@@ -342,12 +344,12 @@
 
 const NOISE: Sickness = Sickness { share: 0.3, lasts: Duration::from_secs(9), fails: 0.75 };
 
-/// Seeds over which losses are averaged: one alone is off by 0.002 in either direction.
+/// Seeds over which losses are averaged; the loss of a single seed is off by up to 0.002.
 const SEEDS: u64 = 4;
 
-/// Bookings, three endpoints of ten sick at any time, all evidence in one place. With every endpoint tried 3.6 s
-/// after its last work 4.6, 3.6 and 3.2 % were lost; with none tried as long as slots are to spare it would be 2.6,
-/// 2.5 and 2.4 %, and the floor would not hold.
+/// Bookings with three of ten endpoints unhealthy at any time and all evidence in one place. When
+/// every endpoint was probed 3.6 s after its last request, 4.6, 3.6 and 3.2 % were lost. With no
+/// probes while slots are spare it would be 2.6, 2.5 and 2.4 %, but the floor would be violated.
 #[test]
 fn while_slots_are_to_spare_few_bookings_are_lost_to_trials() {
     for (endpoints, use_of_slots, most) in
@@ -393,7 +395,7 @@
     )
 }
 
-/// The same where the route leads to other services too, and less of it comes here.
+/// The same loads on split routes, with fewer requests for this service.
 fn split_loads() -> impl Strategy<Value = Load> {
     let from = (0..14_000u64).prop_map(|ms| Time(0) + Duration::from_millis(ms));
     let split = (0.2..0.8, 0.0..0.8, from);
@@ -408,14 +410,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(12) })]
 
-    /// Endpoints that are left alone are never so many that the floor is not kept while it binds.
+    /// There are never so many idle endpoints that the floor is violated while it applies.
     #[test]
     fn the_floor_holds_whoever_is_left_alone(load in loads()) {
         let below = World::new(load).play().below_floor();
         prop_assert!(below.is_none(), "{}", below.unwrap());
     }
 
-    /// Nor while most of what is not served is not served elsewhere.
+    /// The floor also holds while most unserved requests are those of other services.
     #[test]
     fn the_floor_holds_on_split_routes(load in split_loads()) {
         let below = World::new(load).play().below_floor();
@@ -423,13 +425,16 @@
     }
 }
 
-/// Users saw four of thirteen sound endpoints of a download service without work for two seconds, while 101 of 274
-/// downloads were not served. The downloads were split over three services, and another one of them turned most of its
-/// work away; of the 80 a second that came to the service itself nearly all were answered. So the node that
-/// hands out its slots saw no need: it left endpoints alone for 3.6 s and longer, and gave the others work by chance,
-/// of which 1.2 requests for each endpoint in two seconds leave many without. The log of such a day said so: 72
-/// to 82 first sends a second for 130 endpoints, none unserved, 4 to 37 endpoints idle for two to six seconds, while
-/// 154 of 623 downloads of the route were not served.
+/// Guards against idle endpoints on split routes. Four of thirteen healthy endpoints of a download
+/// service got no work for two seconds, while 101 of 274 downloads were not served. The downloads
+/// were split over three services, and another service refused most of its requests; of the 80
+/// requests a second that came to this service nearly all were answered. Its dispatcher therefore
+/// saw no pressure, left endpoints idle for 3.6 s and longer, and chose at random among the others:
+/// with 1.2 requests per endpoint in two seconds, many of them get none.
+///
+/// A log of this fault shows 72 to 82 first sends a second for 130 endpoints, none unserved, and 4
+/// to 37 endpoints idle for two to six seconds, while 154 of 623 downloads of the route were not
+/// served.
 #[test]
 fn the_floor_holds_while_other_services_of_a_split_route_refuse() {
     let of = |endpoints, use_of_slots, share, unserved, seed| Load {
@@ -455,16 +460,21 @@
     }
 }
 
-/// Users saw four of eleven sound endpoints of a hand-in service without work for two seconds, while 30 of 179 hand-ins
-/// were not served. Order of events: eight of 19 endpoints are in trouble that does not show, a part of the others
-/// fails for seconds by turns; all is calm, and endpoints that failed rest; then all processes of the fleet end, and what
-/// is under way is lost. So what makes the floor bind comes after the two seconds that are looked at. Cause: rests were
-/// bounded in calm by a part of all endpoints that looked sound, where the users count far fewer, and counted after
-/// 3.6 s, where the users look at two.
+/// Guards against too many idle endpoints just before a loss of requests. Four of eleven healthy
+/// endpoints of a hand-in service got no work for two seconds, while 30 of 179 hand-ins were not
+/// served. Eight of 19 endpoints were in trouble that the dispatcher does not see, and some of the
+/// others failed for seconds at a time. Endpoints that had failed were left idle in normal
+/// operation; then all processes of the fleet ended and the open requests were lost. So the floor
+/// began to apply after the evaluated window of two seconds.
+///
+/// The cause: the number of idle endpoints was bounded by a share of all endpoints that looked
+/// healthy, although the availability target counts far fewer, and an endpoint counted as idle
+/// after 3.6 s instead of two.
 ///
-/// Evidence: on a calm day with 99 endpoints behind it, 7 of 22 looks of the node that hands out the slots of a service found more
-/// than three tenths of the endpoints that it took for sound itself idle for two seconds (18 of 48 at worst); and this model
-/// finds 12 of 18 sound endpoints at work where 40 % are in trouble.
+/// In a run in normal operation with 99 endpoints, 7 of 22 log lines of the dispatching node showed
+/// more than three tenths of the endpoints that the node itself took for healthy idle for two
+/// seconds (18 of 48 at worst). This model finds work at 12 of 18 healthy endpoints where 40 % are
+/// in trouble.
 #[test]
 fn in_calm_no_more_endpoints_are_left_alone_than_the_floor_leaves() {
     for seed in 1..=6 {
@@ -478,14 +488,17 @@
     }
 }
 
-/// Users saw six of seven sound endpoints of a lookup service without work for two seconds, while 171 of 995 lookups were not
-/// served. Order of events: faults on links and of the platform touch nearly all of its 199 endpoints, and the users count the
-/// few others alone; all is calm, and a fifth of the endpoints rests; then all processes of the fleet end. Cause: rests were
-/// bounded by a part of all endpoints that look sound, which is no bound for a few of them.
+/// Guards against idle endpoints where requests are repeatable. Six of seven healthy endpoints of a
+/// lookup service got no work for two seconds, while 171 of 995 lookups were not served. Faults of
+/// links and of the platform affected nearly all of its 199 endpoints, so the availability target
+/// counted only the few others. A fifth of the endpoints was left idle in normal operation; then
+/// all processes of the fleet ended. The cause: the number of idle endpoints was bounded by a share
+/// of all endpoints that looked healthy, which is no bound for a few of them.
 ///
-/// Evidence: in each of the last ten seconds before the end the node that hands out the slots had 24 to 56 endpoints idle for
-/// two seconds, most of them little doubted, four seconds after their last failure. Lookups may be sent again: one that meets
-/// a sick endpoint loses a repeat and no caller.
+/// In each of the last ten seconds the dispatching node had 24 to 56 endpoints idle for two
+/// seconds. Most of them were probably healthy, four seconds after their last failure. Lookups may
+/// be repeated: one that meets an unhealthy endpoint costs a repeat, and the caller still gets an
+/// answer.
 #[test]
 fn work_that_may_be_sent_again_lets_no_endpoint_rest() {
     for seed in 1..=4 {
