--- a/crates/policy/src/tests/travelling.rs
+++ b/crates/policy/src/tests/travelling.rs
@@ -1,4 +1,5 @@
-//! Slots while answers travel: when they come free, at which upstreams, and what may go wrong after an answer has begun.
+//! Slots of answers in transit: when they come free, for which upstreams, and failures after an
+//! answer has begun.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
@@ -18,28 +19,29 @@
 enum Worker {
     /// Once its answer has begun.
     FreeAtHead,
-    /// Once the last byte has gone.
+    /// Once the last byte is sent.
     FreeAtEnd,
 }
 
-/// What comes to a service, and what its endpoints are like.
+/// Load on a service, and the behaviour of its endpoints.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     endpoints: usize,
     slots: u32,
-    /// Microseconds until an answer begins, and until its last byte has gone.
+    /// Microseconds until an answer begins, and from then on until its last byte is sent.
     work: u64,
     travels: u64,
     /// Requests a second.
     rate: f64,
     worker: Worker,
-    /// Requests beyond the workers that wait at an endpoint; further ones are shed.
+    /// Requests that wait at an endpoint while its workers are busy; further ones are shed.
     queue: usize,
-    /// Share of the requests that endpoints shed whatever they have.
+    /// Share of the requests that endpoints shed regardless of their load.
     sheds: f64,
 }
 
-/// Half of what 25 endpoints with two slots can do in 0.21 s of work; some answers travel for 0.43 s.
+/// Half of the capacity of 25 endpoints with two slots and 0.21 s of work per request. Tests vary
+/// `travels`; some answers are in transit for 0.43 s.
 const HALF: Load = Load {
     endpoints: 25,
     slots: 2,
@@ -51,7 +53,7 @@
     sheds: 0.0,
 };
 
-/// What callers and endpoints saw.
+/// Results for callers and endpoints.
 #[derive(Debug, Default)]
 struct Seen {
     asked: u32,
@@ -182,29 +184,29 @@
     }
 }
 
-/// An endpoint that holds a worker until the last byte has gone turns away what is sent before. That is found out, and
-/// the service is then asked for no more than it can take.
+/// An endpoint that holds a worker until the last byte is sent sheds requests that come earlier.
+/// The dispatcher detects this and then sends no more than the service can take.
 #[test]
 fn endpoints_that_hold_a_worker_until_the_last_byte_are_not_flooded() {
     for (queue, travels) in [(0, 72), (0, 150), (0, 430), (12, 430)] {
         let load = Load { worker: Worker::FreeAtEnd, queue, travels: travels * MS, ..HALF };
-        // As much as such endpoints can do.
+        // The capacity of such endpoints.
         let rate = 50.0 * 1e6 / (load.work + load.travels) as f64;
         let seen = play(Load { rate, ..load }, 60);
-        // The first trial and those that are repeated after 10, 20 and 40 s.
+        // The first experiment, and those repeated after 10, 20 and 40 s.
         assert!(seen.shed <= 5 * 16, "{travels} ms: {seen:?}");
         assert!(f64::from(seen.served) > 0.95 * f64::from(seen.asked - seen.shed), "{seen:?}");
     }
 }
 
-/// A service that sheds a part of all it gets says nothing about slots.
+/// If a service sheds a share of all requests, the shed requests are no evidence about slots.
 #[test]
 fn endpoints_that_shed_whatever_they_have_keep_the_slots_of_travelling_answers_free() {
     let seen = play(Load { sheds: 0.4, ..HALF }, 30);
     assert_eq!(seen.most_queued, 0, "{seen:?}");
 }
 
-/// Takes a slot of a service with one endpoint of 3 slots.
+/// Asks for a slot of a service with one endpoint of 3 slots.
 fn granted(dispatcher: &mut Dispatcher, rng: &mut StdRng, now: Time, seq: u64) -> bool {
     matches!(dispatcher.ask(now, ask(seq, false), rng), Reply::Granted(_))
 }
@@ -222,15 +224,15 @@
     assert!(!granted(&mut dispatcher, &mut rng, Time(3), 5), "one was free");
     dispatcher.release(Time(4), id(0), Kind::Answered, took, &mut rng);
     assert!(!granted(&mut dispatcher, &mut rng, Time(5), 6), "it has come back before");
-    // Its beginning arrives after its end.
+    // The report of its beginning arrives after its end.
     dispatcher.answer_began(Time(6), id(0), took, &mut rng);
     assert!(!granted(&mut dispatcher, &mut rng, Time(7), 7));
     let counts = dispatcher.take_counts();
     assert_eq!((counts.released, counts.freed_early, counts.answered), (1, 1, 1));
 }
 
-/// A copy of an ask that arrives after its slot came back, or after the asker went elsewhere, took a slot until its permit
-/// expired.
+/// A late copy of an ask, whose permit had ended or been withdrawn, took a slot until the new
+/// permit expired.
 #[test]
 fn a_late_copy_of_an_ask_takes_no_slot() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -242,7 +244,7 @@
         assert!(!granted(&mut dispatcher, &mut rng, Time(2), seq));
     }
     assert_eq!(dispatcher.occupancy(Time(2)).in_use, 0);
-    // Whoever comes back after a while is welcome.
+    // The id may be used again after a while.
     dispatcher.tick(Time(0) + SECOND, &mut rng);
     assert!(granted(&mut dispatcher, &mut rng, Time(0) + SECOND, 1));
 }
@@ -265,7 +267,7 @@
     Ask,
     Begin(usize),
     End(usize, Kind),
-    /// Its end is never heard of.
+    /// No end of the request is ever reported.
     Vanish(usize),
     Wait(u64),
 }
@@ -282,8 +284,8 @@
 }
 
 proptest! {
-    /// Whatever comes in which order, an endpoint never works on more requests than it has slots, and what nobody speaks
-    /// of any more is free in the end.
+    /// For any order of events, an endpoint never works on more requests than it has slots, and
+    /// slots of requests that are no longer reported come free.
     #[test]
     fn endpoints_never_have_more_work_than_slots(
         steps in prop::collection::vec(step(), 1..300),
@@ -292,7 +294,7 @@
         let mut rng = StdRng::seed_from_u64(1);
         let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
         let mut now = Time(0);
-        // Endpoint of each request, and whether its answer has begun.
+        // Permit of each request, its endpoint, and whether its answer has begun.
         let mut open: Vec<(PermitId, usize, bool)> = Vec::new();
         for (seq, step) in steps.into_iter().enumerate() {
             match step {
