--- a/crates/policy/src/tests/overload.rs
+++ b/crates/policy/src/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More is asked for than endpoints take: who is served, and who is kept waiting for nothing.
+//! Overload: which requests are served, and which ones wait without success.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,26 +14,26 @@
 const MS: u64 = 1_000;
 const TIME_LIMIT: Duration = Duration::from_secs(3);
 
-/// What comes to sixteen endpoints of three slots.
+/// Load on sixteen endpoints of three slots.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     /// Requests a second.
     rate: f64,
     /// Mean time that an endpoint works on a request.
     work: Duration,
-    /// Rate limit that each endpoint names.
+    /// Rate limit that each endpoint advertises.
     limit: Option<f64>,
-    /// Milliseconds of three times as many requests.
+    /// Length of a burst with three times the rate, in milliseconds.
     burst: Option<u64>,
 }
 
-/// What callers saw.
+/// Results for callers.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
     asked: u32,
     in_time: u32,
     late: u32,
-    /// Sent with less time than the work takes.
+    /// Sent with less time left than the work takes.
     broken_off: u32,
     refused_at_once: u32,
     /// Refused after a wait of more than a tenth of a second.
@@ -103,7 +103,7 @@
 const SUSTAINED: Load =
     Load { rate: 220.0, work: Duration::from_millis(240), limit: None, burst: None };
 
-/// Means over a few seeds, in percent of what was asked for.
+/// Means over a few seeds, in percent of the requests.
 fn shares(load: Load) -> [f64; 4] {
     let all: Vec<Seen> = (1..=4).map(|seed| play(load, seed)).collect();
     let asked: u32 = all.iter().map(|it| it.asked).sum();
