--- a/crates/policy/src/tests/notices.rs
+++ b/crates/policy/src/tests/notices.rs
@@ -1,3 +1,5 @@
+//! Notices of endpoints: leaving, back-off and rate limits.
+
 use std::time::Duration;
 
 use rand::SeedableRng;
@@ -13,7 +15,7 @@
     (Dispatcher::new(Time(0), service, &[TERMS], BUDGET), StdRng::seed_from_u64(1))
 }
 
-/// An ask of a node that does not wait.
+/// An ask of `node` that does not wait.
 fn ask_of(node: u64, seq: u64) -> Ask {
     Ask { reporter: reporter(node), ..ask(seq, false) }
 }
@@ -65,11 +67,11 @@
     assert_eq!(it.evidence_of(back_at, 0).rate_limit, limit);
 }
 
-/// How an endpoint stands: its failures, and the time since.
+/// Health of an endpoint: name, number of failures, and milliseconds since then.
 const STANDINGS: [(&str, u64, u64); 4] =
     [("well", 0, 0), ("last choice", 1, 10), ("on trial", 6, 2_100), ("left alone", 6, 5_000)];
 
-/// Whether a send goes to the only endpoint, which stands so and says something.
+/// Whether a send goes to the only endpoint, which has this health and may have sent a notice.
 fn reaches((_, failures, ms): (&str, u64, u64), notice: Option<Notice>, ask: &Ask) -> bool {
     let (mut it, mut rng) = dispatcher(&service(&[1], 0, Bias::Speed));
     let soon = Duration::from_millis(5);
