--- a/crates/policy/src/tests/places.rs
+++ b/crates/policy/src/tests/places.rs
@@ -1,4 +1,4 @@
-//! Where requests may go: failure domains that are evacuated, regions that are allowed, and ways that are long.
+//! Restrictions on where requests may go: evacuated failure domains, allowed regions, and distance.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     own.map(|it| it.addr).collect()
 }
 
-/// Addresses that so many requests are sent to, each answered before the next one comes.
+/// Addresses to which `n` requests are sent, each answered before the next one starts.
 fn sent(
     it: &mut Dispatcher,
     rng: &mut StdRng,
@@ -80,7 +80,7 @@
     assert!(matches!(it.ask(Time(0), ask(1, true), &mut rng), Reply::Refused { .. }));
 }
 
-/// Whoever hands out slots may have lost its way to the platform.
+/// The node that grants slots may have lost contact with the platform.
 #[test]
 fn an_asker_that_knows_of_an_evacuation_is_not_sent_there() {
     let service = two_domains();
@@ -124,7 +124,7 @@
         reporter: Reporter { failure_domain: hash("a"), ..reporter(seq % 5) },
         ..ask(seq, true)
     };
-    // Two endpoints of three slots each.
+    // The near domain has two endpoints of three slots each.
     for seq in 0..7 {
         let Reply::Granted(grant) = it.ask(Time(0), from_a(seq), &mut rng) else { panic!("{seq}") };
         assert_eq!(addrs(&service, "a").contains(&grant.addr), seq < 6, "{seq}");
