--- a/crates/policy/src/tests/working_set.rs
+++ b/crates/policy/src/tests/working_set.rs
@@ -18,8 +18,9 @@
     World::new(Load::bookings(endpoints, use_of_slots, 8)).play()
 }
 
-/// Three endpoints of ten fail three quarters of what they get. Spread over all of 3,600, which is one request in 3.6 s
-/// for each, 22 % of the bookings were lost; the first ones are placed blindly in any case.
+/// Three endpoints of ten fail three quarters of their requests. Spread over all 3,600 endpoints,
+/// which is one request in 3.6 s for each, 22 % of the bookings were lost. The very first bookings
+/// are placed without evidence in any case.
 #[test]
 fn evidence_does_not_thin_out_as_a_service_grows() {
     for (endpoints, most) in [(3_600, 0.04), (13_000, 0.04)] {
@@ -37,7 +38,8 @@
     assert!(some < 400 && many < some * 3, "{some} looks a request, then {many}");
 }
 
-/// So many requests at each of these moments, answered after `WORK`; returns the endpoints that got them.
+/// Sends `per_s` requests a second from `from` on, answered after `WORK`; returns the endpoints
+/// that got them.
 fn send(
     it: &mut Dispatcher,
     rng: &mut StdRng,
@@ -78,24 +80,25 @@
     (Dispatcher::new(Time(0), service, &[TERMS], BUDGET), StdRng::seed_from_u64(1))
 }
 
-/// The floor wants work at most endpoints in two seconds, and so many requests can reach them.
+/// The floor requires work at most endpoints in two seconds, and this many requests can reach them.
 #[test]
 fn work_that_can_reach_all_endpoints_is_spread_over_all() {
     let service = service(&[25, 25, 25, 25], 70, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
     assert_eq!(distinct(&send(&mut it, &mut rng, Time(0), 100, 4)), 100);
-    // A tenth of that cannot.
+    // A tenth of these requests cannot.
     let later = Time(0) + SECOND * 10;
     send(&mut it, &mut rng, later, 10, 6);
     let few = send(&mut it, &mut rng, later + SECOND * 6, 10, 4);
     assert!(distinct(&few) < 20, "{}", distinct(&few));
-    // And with more requests it is spread again.
+    // With more requests, work is spread evenly again.
     let again = later + SECOND * 20;
     send(&mut it, &mut rng, again, 100, 4);
     assert_eq!(distinct(&send(&mut it, &mut rng, again + SECOND * 4, 100, 4)), 100);
 }
 
-/// Users pay for endpoints that join and get nothing, and lose work that is placed blindly.
+/// Endpoints that join and get no work are wasted capacity, but work on endpoints without evidence
+/// may be lost.
 #[test]
 fn endpoints_that_join_get_work_within_seconds_and_not_all_at_once() {
     let full = service(&[400, 400, 400, 400], 1_120, Bias::Balanced);
