--- a/crates/dappleway/src/control/dispatch_log.rs
+++ b/crates/dappleway/src/control/dispatch_log.rs
@@ -32,14 +32,14 @@
         self.services.for_each(|service, scope, it| {
             let counts = it.take_counts();
             if counts != DispatchCounts::default() {
-                let idle = if it.is_strained() { name_idle(now, it) } else { Vec::new() };
+                let idle = if it.is_under_pressure() { name_idle(now, it) } else { Vec::new() };
                 lines.push(Line {
                     service,
                     scope,
                     counts,
                     occupancy: it.occupancy(now),
                     queued: it.queued(),
-                    strain: it.strain_name(),
+                    strain: it.pressure_name(),
                     idle,
                 });
             }
@@ -54,15 +54,15 @@
                 "repeats_refused" => counts.repeats_refused, "answered" => counts.answered,
                 "failed" => counts.failed, "timed_out" => counts.timed_out,
                 "shed_last" => counts.shed_last, "queue_refused" => counts.queue_refused,
-                "waited_in_vain" => counts.waited_in_vain, "withdrawn" => counts.withdrawn,
+                "waited_in_vain" => counts.expired_waiting, "withdrawn" => counts.withdrawn,
                 "rejected" => counts.rejected,
                 "unserved_elsewhere" => counts.unserved_elsewhere,
-                "refused_before" => counts.refused_before, "queued" => it.queued,
+                "refused_before" => counts.refused_before_dispatch, "queued" => it.queued,
                 "released" => counts.released, "freed_early" => counts.freed_early, "expired" => counts.expired,
-                "in_use" => occupancy.in_use, "travelling" => occupancy.travelling, "expected" => occupancy.expected,
-                "sound" => occupancy.sound, "sound_idle" => occupancy.sound_idle,
+                "in_use" => occupancy.in_use, "travelling" => occupancy.in_transit, "expected" => occupancy.expected,
+                "sound" => occupancy.healthy, "sound_idle" => occupancy.healthy_idle,
                 "limited" => occupancy.limited, "limit_per_s" => occupancy.limit_per_s,
-                "to_limited" => counts.to_limited, "leaving" => occupancy.leaving, "resting" => occupancy.resting, "strain" => it.strain);
+                "to_limited" => counts.to_limited, "leaving" => occupancy.leaving, "resting" => occupancy.backing_off, "strain" => it.strain);
             if !idle.is_empty() {
                 info!(self.log, "endpoints without work"; "service" => name,
                     "dispatched_here" => is_fleet, "endpoints" => state.service.endpoints.len(),
@@ -121,9 +121,9 @@
     json!([
         it.id.as_str(),
         it.state,
-        it.used,
+        it.usage,
         it.is_missing,
-        (it.sick * 100.0) as u32,
+        (it.p_unhealthy * 100.0) as u32,
         ms(it.idle),
         ms(it.since_failure),
         it.in_use,
--- a/crates/dappleway/src/control/metrics.rs
+++ b/crates/dappleway/src/control/metrics.rs
@@ -240,7 +240,7 @@
             granted += repeats.granted;
             refused += repeats.refused;
             first += repeats.first_total;
-            if scope == Scope::Fleet && it.is_in_charge(now) {
+            if scope == Scope::Fleet && it.is_dispatching(now) {
                 allowed += repeats.allowed;
                 spent += repeats.spent;
             }
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -67,7 +67,7 @@
             avoid: want.avoid.clone(),
             closed: state.direct.closed(now, self.me.node),
             places: self.places_of(want),
-            limits: state.direct.heard_limits(now),
+            limits: state.direct.received_limits(now),
             left: want.left,
             is_last: want.is_last,
             objective: want.route.objective(),
@@ -344,7 +344,7 @@
                 }
                 place => self.here(place, service, |it, _| {
                     it.unserved_elsewhere(now, requests);
-                    it.refused_before(now, refused);
+                    it.refused_before_dispatch(now, refused);
                     Vec::new()
                 }),
             }
--- a/crates/dappleway/src/control/peer_slots.rs
+++ b/crates/dappleway/src/control/peer_slots.rs
@@ -64,7 +64,7 @@
             PermitMessage::UnservedElsewhere { service, requests, refused } => {
                 if let Some(it) = self.services.own(now, service) {
                     it.unserved_elsewhere(now, requests);
-                    it.refused_before(now, refused);
+                    it.refused_before_dispatch(now, refused);
                 }
             }
             PermitMessage::Renew { ids } => self.each_own(|it, _| {
--- a/crates/dappleway/src/control/suspects.rs
+++ b/crates/dappleway/src/control/suspects.rs
@@ -36,10 +36,10 @@
             }
             let Some(state) = self.services.get_mut(service) else { continue };
             if grantor != Some(Place::Direct) {
-                state.direct.ran(now, request, end, elapsed);
+                state.direct.run_ended(now, request, end, elapsed);
             }
             if grantor != Some(Place::Own) {
-                state.own.iter_mut().for_each(|it| it.ran(now, request, end, elapsed));
+                state.own.iter_mut().for_each(|it| it.run_ended(now, request, end, elapsed));
             }
         }
     }
@@ -49,7 +49,7 @@
         if let Some(state) = self.services.get_mut(open.service)
             && open.place != Place::Direct
         {
-            state.direct.ran(now, open.sent.request, RunEnd::Answered, Duration::ZERO);
+            state.direct.run_ended(now, open.sent.request, RunEnd::Answered, Duration::ZERO);
         }
     }
 
--- a/crates/dappleway/src/control/timers.rs
+++ b/crates/dappleway/src/control/timers.rs
@@ -175,17 +175,17 @@
                 Scope::Fleet => state.own.as_ref(),
                 Scope::Alone => Some(&state.direct),
             };
-            let is_in_charge = dispatcher.is_some_and(|it| it.is_in_charge(now));
+            let is_dispatching = dispatcher.is_some_and(|it| it.is_dispatching(now));
             // What a node believes of an endpoint whose slots it does not hand out changes nothing. On the users'
             // largest site such lines were most of 91,000 in half a minute.
-            if is_in_charge {
+            if is_dispatching {
                 info!(self.log, "endpoint state"; "service" => state.service.name.as_str(),
                     "endpoint" => it.id.as_str(), "addr" => %it.addr, "from" => it.from.name(),
                     "to" => it.to.name(), "reason" => it.reason,
                     "dispatched_here" => scope == Scope::Fleet);
             }
             let is_word_of_dispatcher =
-                is_in_charge && scope == Scope::Fleet || self.mode == Mode::Direct;
+                is_dispatching && scope == Scope::Fleet || self.mode == Mode::Direct;
             if matches!(it.to, State::Ejected { .. }) && is_word_of_dispatcher {
                 self.tell_ejected(now, it.addr);
             }
@@ -222,8 +222,8 @@
         self.services.for_each(|_, scope, it| {
             let out = it.endpoints().iter();
             let out = out.filter(|it| matches!(it.state, State::Ejected { .. }));
-            if scope == Scope::Fleet && it.is_in_charge(now) {
-                ejected.extend(out.map(|it| it.addr).chain(it.set_back(now)));
+            if scope == Scope::Fleet && it.is_dispatching(now) {
+                ejected.extend(out.map(|it| it.addr).chain(it.last_resort_endpoints(now)));
             }
         });
         for it in ejected {
--- a/crates/dappleway/src/services.rs
+++ b/crates/dappleway/src/services.rs
@@ -159,7 +159,7 @@
     /// Learns from another node how a request ended, for the time when this one dispatches.
     pub fn ran(&mut self, now: Time, service: u64, ran: Ran) {
         let Some(state) = self.by_hash.get_mut(&service) else { return };
-        let tell = |it: &mut Dispatcher| it.ran(now, ran.request, ran.end, ran.elapsed);
+        let tell = |it: &mut Dispatcher| it.run_ended(now, ran.request, ran.end, ran.elapsed);
         tell(&mut state.direct);
         state.own.iter_mut().for_each(tell);
     }
@@ -280,7 +280,7 @@
     fn own(&mut self, now: Time, terms: &Terms) -> &mut Dispatcher {
         let make = || {
             let new = terms.dispatcher(now, &self.service, &self.routes);
-            new.with_beliefs_of(now, &self.direct)
+            new.with_health_of(now, &self.direct)
         };
         self.own.get_or_insert_with(make)
     }
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -475,7 +475,7 @@
             avoid: Vec::new(),
             closed: self.nodes[i].direct.closed(self.now(), id.node),
             places: None,
-            limits: self.nodes[i].direct.heard_limits(self.now()),
+            limits: self.nodes[i].direct.received_limits(self.now()),
             left: TIME_LIMIT,
             is_last: false,
             objective: Duration::from_secs(1),
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -464,7 +464,7 @@
             keep
         });
         let late = self.queue.extract(|it| it.deadline <= now);
-        self.counts.waited_in_vain += late.len() as u32;
+        self.counts.expired_waiting += late.len() as u32;
         self.note_unserved(now, late.len());
         self.leave_queue(late.iter().map(|it| &it.item));
         let mut settled: Vec<_> = late.into_iter().map(|it| self.refusal(it.item.id)).collect();
@@ -495,7 +495,7 @@
 
     /// Whether this dispatcher currently grants slots. One that does not receives only reports of
     /// failures, so its conclusions must not be passed on to other nodes.
-    pub fn is_in_charge(&self, now: Time) -> bool {
+    pub fn is_dispatching(&self, now: Time) -> bool {
         self.granted_at.is_some_and(|it| now.since(it) < IN_CHARGE_FOR)
     }
 
--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -27,7 +27,7 @@
     /// Requests refused because the queue was too long.
     pub queue_refused: u32,
     /// Requests that waited for a slot until their deadline.
-    pub waited_in_vain: u32,
+    pub expired_waiting: u32,
     /// Requests withdrawn while they waited.
     pub withdrawn: u32,
     /// Requests that were answered.
@@ -43,7 +43,7 @@
     /// Requests of split routes that lead here too and that another service did not serve.
     pub unserved_elsewhere: u32,
     /// Requests refused before this service was asked for a slot.
-    pub refused_before: u32,
+    pub refused_before_dispatch: u32,
     /// Slots that were given back.
     pub released: u32,
     /// Slots freed when an answer had begun, before it was complete.
@@ -62,14 +62,14 @@
     /// Slots in use.
     pub in_use: u32,
     /// Answers in transit that hold no slot.
-    pub travelling: u32,
+    pub in_transit: u32,
     /// Endpoints that are expected to serve.
     pub expected: u32,
     /// Expected endpoints whose last failure is so old that the availability target counts them as
     /// healthy.
-    pub sound: u32,
+    pub healthy: u32,
     /// Healthy endpoints that have been idle for two seconds.
-    pub sound_idle: u32,
+    pub healthy_idle: u32,
     /// Endpoints that have advertised a rate limit.
     pub limited: u32,
     /// Sum of these rate limits, in requests a second.
@@ -77,7 +77,7 @@
     /// Endpoints that have advertised that they are leaving.
     pub leaving: u32,
     /// Endpoints that have asked at least one node to back off.
-    pub resting: u32,
+    pub backing_off: u32,
 }
 
 /// An endpoint that has been idle for two seconds, with possible reasons.
@@ -90,11 +90,11 @@
     /// Name of its state in the rotation.
     pub state: &'static str,
     /// Name of its usage, which follows from the health estimate.
-    pub used: &'static str,
+    pub usage: &'static str,
     /// Whether its entry in the registry is missing.
     pub is_missing: bool,
     /// Probability that it is unhealthy.
-    pub sick: f64,
+    pub p_unhealthy: f64,
     /// Time since its last failure.
     pub since_failure: Option<Duration>,
     /// Slots in use.
@@ -119,9 +119,9 @@
                 id: it.id.clone(),
                 idle: load.idle(now),
                 state: it.state.name(),
-                used: load.belief.usage(now, self.strain, share).name(),
+                usage: load.belief.usage(now, self.strain, share).name(),
                 is_missing: it.is_missing,
-                sick: load.belief.sick(now, share),
+                p_unhealthy: load.belief.sick(now, share),
                 since_failure: load.belief.since_failure(now),
                 in_use: load.in_use(),
                 oldest_open: load.oldest_open(now),
@@ -134,9 +134,9 @@
         let mut it = Occupancy::default();
         for (status, load) in self.endpoints().iter().zip(&self.loads) {
             it.in_use += load.in_use();
-            it.travelling += load.travelling();
+            it.in_transit += load.travelling();
             it.leaving += u32::from(load.said.is_leaving);
-            it.resting += u32::from(load.said.rests.count(now) > 0);
+            it.backing_off += u32::from(load.said.rests.count(now) > 0);
             it.limited += u32::from(load.said.pace.limit().is_some());
             it.limit_per_s += load.said.pace.limit().map_or(0.0, RateLimit::per_second);
             if !status.is_expected() {
@@ -144,8 +144,9 @@
             }
             it.expected += 1;
             if load.age(now) >= REPORTED_IDLE && load.belief.failed_before(now, SOUND_AFTER) {
-                it.sound += 1;
-                it.sound_idle += u32::from(load.idle(now).is_none_or(|idle| idle >= REPORTED_IDLE));
+                it.healthy += 1;
+                it.healthy_idle +=
+                    u32::from(load.idle(now).is_none_or(|idle| idle >= REPORTED_IDLE));
             }
         }
         it
@@ -153,12 +154,12 @@
 
     /// Whether so many requests are not served, here or by other services of a split route, that
     /// idle endpoints count against the floor; as of the last choice.
-    pub fn is_strained(&self) -> bool {
+    pub fn is_under_pressure(&self) -> bool {
         self.strain != Strain::None
     }
 
     /// Name of the pressure on the service as of the last choice, for logs.
-    pub fn strain_name(&self) -> &'static str {
+    pub fn pressure_name(&self) -> &'static str {
         self.strain.name()
     }
 }
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -26,9 +26,9 @@
     /// Slots in use.
     pub in_use: u32,
     /// Probability that it is unhealthy.
-    pub sick: f64,
+    pub p_unhealthy: f64,
     /// Name of its usage, which follows from this probability.
-    pub used: &'static str,
+    pub usage: &'static str,
     /// Time since its last failure.
     pub since_failure: Option<Duration>,
     /// Rate limit that it has advertised.
@@ -107,8 +107,8 @@
     /// Records requests that were refused before this service was asked for a slot. The
     /// availability target counts them as not served by this service, and while many are not served
     /// it requires work at most of the healthy endpoints.
-    pub fn refused_before(&mut self, now: Time, requests: u32) {
-        self.counts.refused_before += requests;
+    pub fn refused_before_dispatch(&mut self, now: Time, requests: u32) {
+        self.counts.refused_before_dispatch += requests;
         self.note_unserved(now, requests as usize);
     }
 
@@ -119,7 +119,7 @@
 
     /// Takes over the health estimates, advertisements and crash suspects of another dispatcher of
     /// the same service.
-    pub fn with_beliefs_of(mut self, now: Time, other: &Self) -> Self {
+    pub fn with_health_of(mut self, now: Time, other: &Self) -> Self {
         for (it, load) in self.judge.rotation.endpoints().iter().zip(&mut self.loads) {
             if let Some(i) = other.judge.rotation.position(&it.id) {
                 load.belief = other.loads[i].belief;
@@ -143,7 +143,7 @@
     }
 
     /// Addresses of the endpoints that are used only as a last resort because of recent failures.
-    pub fn set_back(&self, now: Time) -> impl Iterator<Item = SocketAddr> + '_ {
+    pub fn last_resort_endpoints(&self, now: Time) -> impl Iterator<Item = SocketAddr> + '_ {
         let endpoints = self.endpoints().iter().zip(&self.loads);
         endpoints
             .filter(move |(_, load)| {
@@ -158,8 +158,8 @@
         EvidenceReport {
             score: self.judge.score(endpoint),
             in_use: load.in_use(),
-            sick: load.belief.sick(now, self.signs.share()),
-            used: load.belief.usage(now, self.strain, self.signs.share()).name(),
+            p_unhealthy: load.belief.sick(now, self.signs.share()),
+            usage: load.belief.usage(now, self.strain, self.signs.share()).name(),
             since_failure: load.belief.since_failure(now),
             rate_limit: load.said.pace.limit(),
         }
--- a/crates/policy/src/dispatcher/paced.rs
+++ b/crates/policy/src/dispatcher/paced.rs
@@ -22,7 +22,7 @@
     }
 
     /// Rate limits that this node has received recently, latest first.
-    pub fn heard_limits(&self, now: Time) -> Vec<HeardLimit> {
+    pub fn received_limits(&self, now: Time) -> Vec<HeardLimit> {
         let all = self.endpoints().iter().zip(&self.loads);
         let mut told: Vec<_> =
             all.filter_map(|(it, load)| load.said.pace.told(now, it.addr)).collect();
--- a/crates/policy/src/dispatcher/suspicion.rs
+++ b/crates/policy/src/dispatcher/suspicion.rs
@@ -34,7 +34,7 @@
     }
 
     /// Records the end of a send, `elapsed` after it began, whose slot another dispatcher granted.
-    pub fn ran(&mut self, now: Time, request: RequestKey, end: RunEnd, elapsed: Duration) {
+    pub fn run_ended(&mut self, now: Time, request: RequestKey, end: RunEnd, elapsed: Duration) {
         match end {
             RunEnd::Answered => self.suspects.answered(now, request),
             RunEnd::Crashed => self.crashed(now, request, now - (elapsed + SAME_CRASH)),
--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -55,8 +55,8 @@
     assert_eq!(at_bad(1..4, SECOND), [false; 3]);
     assert_eq!(at_bad(4..7, Duration::ZERO), [true; 3]);
     let later = Time(0) + SECOND * 8;
-    assert_eq!(dispatcher.set_back(Time(1)).collect::<Vec<_>>(), [bad.addr]);
-    assert_eq!(dispatcher.set_back(later).count(), 0);
+    assert_eq!(dispatcher.last_resort_endpoints(Time(1)).collect::<Vec<_>>(), [bad.addr]);
+    assert_eq!(dispatcher.last_resort_endpoints(later).count(), 0);
 }
 
 #[test]
@@ -85,7 +85,7 @@
     let cut_off = Ask { avoid: vec![addr], ..ask(0, true) };
     let Reply::Granted(other) = dispatcher.ask(Time(0), cut_off, &mut rng) else { panic!() };
     assert_ne!(other.addr, addr);
-    assert_eq!(dispatcher.set_back(Time(0)).count(), 0);
+    assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 0);
 }
 
 #[test]
@@ -204,8 +204,8 @@
     let elapsed = Duration::from_millis(5);
     let it = seen(1, Kind::Failed, elapsed);
     told.observe(Time(0), &sick.id, it);
-    let taken_over = new().with_beliefs_of(Time(0), &told);
-    assert_eq!(taken_over.set_back(Time(1)).collect::<Vec<_>>(), [sick.addr]);
+    let taken_over = new().with_health_of(Time(0), &told);
+    assert_eq!(taken_over.last_resort_endpoints(Time(1)).collect::<Vec<_>>(), [sick.addr]);
 }
 
 /// Guards against ranking last-resort endpoints by free slots: unhealthy endpoints fail fast, so
@@ -277,10 +277,10 @@
     let elapsed = Duration::from_millis(1);
     let it = seen(1, Kind::Failed, elapsed);
     dispatcher.observe(Time(0), &service.endpoints[0].id, it);
-    assert!(!dispatcher.is_in_charge(Time(0)));
+    assert!(!dispatcher.is_dispatching(Time(0)));
     dispatcher.ask(Time(0), ask(1, true), &mut rng);
-    assert!(dispatcher.is_in_charge(Time(0)));
-    assert!(!dispatcher.is_in_charge(Time(0) + SECOND * 2));
+    assert!(dispatcher.is_dispatching(Time(0)));
+    assert!(!dispatcher.is_dispatching(Time(0) + SECOND * 2));
 }
 
 /// Guards against preferring endpoints in the own failure domain for further sends: both sends of a
@@ -375,9 +375,9 @@
     };
     see(&mut dispatcher, 1, Kind::Abandoned, long / 20);
     see(&mut dispatcher, 2, Kind::Beaten, long);
-    assert_eq!(dispatcher.set_back(Time(0)).count(), 0, "one alone is usual");
+    assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 0, "one alone is usual");
     (3..5).for_each(|node| see(&mut dispatcher, node, Kind::Beaten, long));
-    assert_eq!(dispatcher.set_back(Time(0)).count(), 1);
+    assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 1);
 }
 
 /// Requests went to endpoints known to fail although endpoints with a single isolated failure had
--- a/crates/policy/src/tests/lives.rs
+++ b/crates/policy/src/tests/lives.rs
@@ -31,9 +31,9 @@
     let service = service(&[2], 1, Bias::Balanced);
     let (mut it, _) = dispatcher(&service);
     fail(&mut it, Time(0), &service, SOON);
-    assert_eq!(it.set_back(Time(0) + SOON).count(), 1);
+    assert_eq!(it.last_resort_endpoints(Time(0) + SOON).count(), 1);
     it.reconfigure(Time(0) + SOON, &after_a_start(&service), &[TERMS]);
-    assert_eq!(it.set_back(Time(0) + SOON).count(), 0);
+    assert_eq!(it.last_resort_endpoints(Time(0) + SOON).count(), 0);
     let report = it.evidence_of(Time(0) + SOON, 0);
     assert_eq!((report.score, report.since_failure), (0.0, None));
     assert!(matches!(it.endpoints()[0].state, State::Ramping { .. }), "it is cold");
@@ -47,7 +47,7 @@
     let mut warm = service.clone();
     warm.endpoints[0].warm_up_ms = 7;
     it.reconfigure(Time(0) + SOON, &warm, &[TERMS]);
-    assert_eq!(it.set_back(Time(0) + SOON).count(), 1);
+    assert_eq!(it.last_resort_endpoints(Time(0) + SOON).count(), 1);
 }
 
 #[test]
--- a/crates/policy/src/tests/silence.rs
+++ b/crates/policy/src/tests/silence.rs
@@ -20,7 +20,7 @@
             let it = seen(i, kind, elapsed);
             dispatcher.observe(Time(0), &service.endpoints[0].id, it);
         });
-        dispatcher.set_back(Time(0)).count()
+        dispatcher.last_resort_endpoints(Time(0)).count()
     };
     for kind in [Kind::TimedOut, Kind::Abandoned, Kind::Beaten, Kind::Stalled] {
         assert_eq!(set_back_after(kind, TERMS.objective * 2), 1, "{kind:?}");
--- a/crates/policy/src/tests/suspects.rs
+++ b/crates/policy/src/tests/suspects.rs
@@ -168,8 +168,8 @@
     for _ in 0..3 {
         bed.now = bed.now + SECOND;
         // Two nodes tell of the same crash.
-        bed.dispatcher.ran(bed.now, GUILTY, RunEnd::Crashed, SOON);
-        bed.dispatcher.ran(bed.now + SOON / 10, GUILTY, RunEnd::Crashed, SOON);
+        bed.dispatcher.run_ended(bed.now, GUILTY, RunEnd::Crashed, SOON);
+        bed.dispatcher.run_ended(bed.now + SOON / 10, GUILTY, RunEnd::Crashed, SOON);
     }
     assert!(bed.is_rejected(GUILTY));
     assert_eq!(bed.dispatcher.take_rejections().len(), 1);
--- a/crates/policy/src/tests/travelling.rs
+++ b/crates/policy/src/tests/travelling.rs
@@ -255,11 +255,11 @@
     let mut dispatcher = Dispatcher::new(Time(0), &service(&[2], 1, Bias::Speed), &[TERMS], BUDGET);
     assert!(granted(&mut dispatcher, &mut rng, Time(0), 0));
     dispatcher.answer_began(Time(0) + SECOND / 50, id(0), SECOND / 50, &mut rng);
-    assert_eq!(dispatcher.set_back(Time(0) + SECOND / 50).count(), 0);
+    assert_eq!(dispatcher.last_resort_endpoints(Time(0) + SECOND / 50).count(), 0);
     let later = Time(0) + SECOND * 2;
     dispatcher.stalled(later, id(0), SECOND);
     dispatcher.release(later, id(0), Kind::TimedOut, SECOND, &mut rng);
-    assert_eq!(dispatcher.set_back(later).count(), 1);
+    assert_eq!(dispatcher.last_resort_endpoints(later).count(), 1);
 }
 
 #[derive(Clone, Debug)]
@@ -331,6 +331,6 @@
         }
         dispatcher.tick(now + SECOND * 7, &mut rng);
         let occupancy = dispatcher.occupancy(now + SECOND * 7);
-        prop_assert_eq!((occupancy.in_use, occupancy.travelling), (0, 0));
+        prop_assert_eq!((occupancy.in_use, occupancy.in_transit), (0, 0));
     }
 }
