--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -5,17 +5,17 @@
 //! that asks for slots. Permits only guide capacity use. No guarantee to callers depends on them,
 //! so lost, late and duplicate permits are harmless.
 
+mod advertised;
 mod choice;
 mod congestion;
 mod counts;
+mod crash_suspects;
 mod evidence;
+mod idle;
 mod load;
 mod notices;
 mod overlap;
-mod paced;
-mod rest;
-mod said;
-mod suspicion;
+mod rate_limits;
 mod waiting;
 mod working_set;
 
@@ -39,10 +39,10 @@
 use crate::suspects::{RequestKey, Suspects};
 use crate::time::Time;
 use crate::topology::Topology;
+use advertised::Remembered;
 use congestion::Congestion;
 use load::Load;
 use overlap::{Overlap, Sent};
-use said::Remembered;
 use working_set::{Rate, WorkingSet};
 
 pub use counts::{DispatchCounts, IdleEndpoint, Occupancy};
--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use super::Dispatcher;
+use super::idle::{Rested, due_after};
 use super::load::Load;
-use super::rest::{Rested, due_after};
 use super::working_set::Spread;
 use crate::belief::{Belief, IDLE_AFTER, MISSED_AFTER, SILENCE_FAILS, Strain, TRY_AGAIN, Use};
 use crate::permit::{Ask, Doubt, SendKind, Tier};
--- a/crates/policy/src/dispatcher/load.rs
+++ b/crates/policy/src/dispatcher/load.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::said::Said;
+use super::advertised::Said;
 use crate::baseline::Baseline;
 use crate::belief::Belief;
 use crate::permit::{Ask, PermitId};
--- a/crates/policy/src/tests/working_set.rs
+++ b/crates/policy/src/tests/working_set.rs
@@ -7,7 +7,7 @@
 use resources::{Bias, Service};
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
-use super::rest::{Load, World};
+use super::idle::{Load, World};
 use crate::{Ask, Dispatcher, Kind, Reply, Time};
 
 const WORK: Duration = Duration::from_millis(230);
