--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -77,7 +77,7 @@
     /// Endpoints that have advertised that they are leaving.
     pub leaving: u32,
     /// Endpoints that have asked at least one node to back off.
-    pub backing_off: u32,
+    pub with_backoffs: u32,
 }
 
 /// An endpoint that has been idle for two seconds, with possible reasons.
@@ -136,7 +136,7 @@
             it.in_use += load.in_use();
             it.in_transit += load.travelling();
             it.leaving += u32::from(load.said.is_leaving);
-            it.backing_off += u32::from(load.said.rests.count(now) > 0);
+            it.with_backoffs += u32::from(load.said.rests.count(now) > 0);
             it.limited += u32::from(load.said.pace.limit().is_some());
             it.limit_per_s += load.said.pace.limit().map_or(0.0, RateLimit::per_second);
             if !status.is_expected() {
