--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -39,10 +39,10 @@
 use crate::suspects::{RequestKey, Suspects};
 use crate::time::Time;
 use crate::topology::Topology;
-use advertised::Remembered;
+use advertised::LapsedEndpoints;
 use congestion::Congestion;
-use load::Load;
-use overlap::{Overlap, Sent};
+use load::EndpointLoad;
+use overlap::{Overlap, Placement};
 use working_set::{Rate, WorkingSet};
 
 pub use counts::{DispatchCounts, IdleEndpoint, Occupancy};
@@ -52,21 +52,21 @@
 const PERMIT_LIFETIME: Duration = Duration::from_secs(3);
 /// Lifetime of a permit whose answer has begun. Such a permit holds no slot, and the outcome of its
 /// request is still useful evidence that may arrive late, so it lives longer.
-const ANSWERED_LIFETIME: Duration = Duration::from_secs(6);
+const ANSWERED_PERMIT_LIFETIME: Duration = Duration::from_secs(6);
 /// How long the id of an ended permit is kept, to recognise late copies of its ask. Longer than
 /// such a copy is in transit, and shorter than the time for which an asker avoids a node after
 /// withdrawing an ask there.
-const REMEMBER_ENDED: Duration = Duration::from_millis(800);
+const ENDED_PERMIT_RETENTION: Duration = Duration::from_millis(800);
 /// An endpoint that shed a request is treated as full for this long, about the time until one of a
 /// few slots comes free.
-const FULL_FOR: Duration = Duration::from_millis(100);
+const FULL_AFTER_SHED: Duration = Duration::from_millis(100);
 /// A dispatcher that has granted nothing for this long is assumed to have been replaced by another
 /// node's dispatcher.
-const IN_CHARGE_FOR: Duration = Duration::from_secs(1);
+const DISPATCHING_WINDOW: Duration = Duration::from_secs(1);
 /// Weight of a new sample in the moving average of the slot hold time.
 const HOLD_GAIN: f64 = 0.05;
 /// Mean slot hold time assumed before the first sample.
-const FIRST_HOLD: Duration = Duration::from_millis(100);
+const INITIAL_MEAN_HOLD: Duration = Duration::from_millis(100);
 
 /// Shortest `retry_after` given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
@@ -97,14 +97,14 @@
     is_last_send: bool,
     /// The request was sent to an endpoint before.
     is_further: bool,
-    told: Told,
+    reported: Reported,
     /// Whether the endpoint had room for this send only because answers in transit hold no slot.
-    sent: Sent,
+    placement: Placement,
 }
 
 /// What has been reported of a request while it was open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Reported {
     /// Nothing so far.
     Nothing,
     /// A stall. Outlier detection has counted the silence; the outcome must not count again.
@@ -115,7 +115,7 @@
     AnswerStalled,
 }
 
-impl Told {
+impl Reported {
     fn has_answer(self) -> bool {
         matches!(self, Self::AnswerBegan | Self::AnswerStalled)
     }
@@ -136,48 +136,48 @@
 /// Slots, health estimates and verdicts of one service on one node.
 #[derive(Debug)]
 pub struct Dispatcher {
-    judge: Judge,
-    signs: Signs,
+    detector: Judge,
+    likelihoods: Signs,
     /// Time of the last refresh of `likelihoods`.
-    refreshed: Time,
+    likelihoods_refreshed: Time,
     /// Same order as the endpoints of the rotation.
-    loads: Vec<Load>,
+    loads: Vec<EndpointLoad>,
     /// Advertisements of endpoints whose registry entry is gone.
-    remembered: Remembered,
+    lapsed: LapsedEndpoints,
     permits: FxHashMap<PermitId, Permit>,
     /// Permits that ended or were withdrawn recently. An ask for one of them is a late copy; if it
     /// were granted, its slot would stay in use until the permit expires.
     ended: FxHashMap<PermitId, Time>,
     queue: Queue<Ask>,
     /// Time of the last attempt to serve the queue.
-    drained: Time,
+    last_drain: Time,
     /// Moving average of the time for which a slot is held.
     mean_hold: Duration,
     congestion: Congestion,
     budget: Budget,
     /// Total of refused repeats at the last call of `newly_refused`.
-    refused_before: u64,
+    refusals_reported: u64,
     /// Outcomes of the service's requests, from which `pressure` is derived.
-    served: Served,
+    unserved: Served,
     /// Requests during which endpoints have crashed.
     suspects: Suspects,
     /// Whether queued requests may have been rejected since the queue was last checked.
-    has_rejected: bool,
+    has_new_rejections: bool,
     overlap: Overlap,
-    /// Time of the last grant.
     counts: DispatchCounts,
-    granted_at: Option<Time>,
+    /// Time of the last grant.
+    last_grant: Option<Time>,
     /// Whether so many requests fail that endpoints are tried again sooner, as of the last choice.
-    strain: Strain,
+    pressure: Strain,
     /// Idle time after which an endpoint is due for a probe request, and when this value was
     /// computed.
-    due_after: (Duration, Time),
+    probe_after: (Duration, Time),
     working_set: WorkingSet,
     /// Rate of sends to all endpoints together.
     rate: Rate,
     /// By route: the number of its requests that go to other services for each one that comes to
     /// this service. Routes that lead only here have no entry.
-    elsewhere: FxHashMap<u32, f64>,
+    elsewhere_ratios: FxHashMap<u32, f64>,
     /// Share of the endpoints that the floor requires to be in use.
     floor_share: f64,
     topology: Topology,
@@ -199,30 +199,34 @@
     /// Creates a dispatcher for `service`. `routes` are the routes that lead to it.
     pub fn new(now: Time, service: &Service, routes: &[RouteTerms], budget: BudgetLimits) -> Self {
         let mut it = Self {
-            judge: Judge::new(now, service, routes),
-            signs: Signs::default(),
-            refreshed: now,
-            loads: service.endpoints.iter().map(|it| Load::new(now, &it.failure_domain)).collect(),
-            remembered: Remembered::default(),
+            detector: Judge::new(now, service, routes),
+            likelihoods: Signs::default(),
+            likelihoods_refreshed: now,
+            loads: service
+                .endpoints
+                .iter()
+                .map(|it| EndpointLoad::new(now, &it.failure_domain))
+                .collect(),
+            lapsed: LapsedEndpoints::default(),
             permits: FxHashMap::default(),
             ended: FxHashMap::default(),
             queue: Queue::new(),
-            drained: Time::default(),
-            mean_hold: FIRST_HOLD,
+            last_drain: Time::default(),
+            mean_hold: INITIAL_MEAN_HOLD,
             congestion: Congestion::default(),
             budget: Budget::new(now, budget),
-            refused_before: 0,
-            served: Served::default(),
+            refusals_reported: 0,
+            unserved: Served::default(),
             suspects: Suspects::default(),
-            has_rejected: false,
+            has_new_rejections: false,
             overlap: Overlap::default(),
             counts: DispatchCounts::default(),
-            granted_at: None,
-            strain: Strain::None,
-            due_after: (ALONE_AFTER, now),
+            last_grant: None,
+            pressure: Strain::None,
+            probe_after: (ALONE_AFTER, now),
             working_set: WorkingSet::default(),
             rate: Rate::default(),
-            elsewhere: elsewhere(routes),
+            elsewhere_ratios: elsewhere_ratios(routes),
             floor_share: floor_share(service),
             topology: Topology::default(),
             region: None,
@@ -232,7 +236,7 @@
             nodes: 1,
             is_budget_short: false,
         };
-        it.chill(now);
+        it.update_cold_limits(now);
         it.working_set.rebuild(now, &it.loads);
         it
     }
@@ -241,16 +245,16 @@
     pub fn set_topology(&mut self, topology: Topology, own_failure_domain: u64) {
         self.topology = topology;
         self.region = self.topology.region_of(own_failure_domain);
-        self.locate();
+        self.update_regions();
     }
 
     /// Whether an endpoint is in another region than this node. Nodes of that region come first in
     /// granting its slots.
-    fn is_elsewhere(&self, load: &Load) -> bool {
+    fn is_in_other_region(&self, load: &EndpointLoad) -> bool {
         matches!((load.region, self.region), (Some(its), Some(own)) if its != own)
     }
 
-    fn locate(&mut self) {
+    fn update_regions(&mut self) {
         for it in &mut self.loads {
             it.region = self.topology.region_of(it.failure_domain);
         }
@@ -270,37 +274,39 @@
     /// kept; permits on a restarted endpoint ended with its previous incarnation.
     pub fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
         let before = Lives::of(self.endpoints());
-        self.judge.reconfigure(now, service, routes);
+        self.detector.reconfigure(now, service, routes);
         self.floor_share = floor_share(service);
         self.cold_rate = cold_rate(service);
         self.warm_up = warm_up(service);
-        self.elsewhere = elsewhere(routes);
+        self.elsewhere_ratios = elsewhere_ratios(routes);
         let old = std::mem::take(&mut self.loads);
-        let is_in_use = self.granted_at.is_some();
+        let is_in_use = self.last_grant.is_some();
         let load_of = |it: &EndpointStatus| {
             let known = before.position(it).map(|i| old[i].clone());
             known.unwrap_or_else(|| match before.knows(&it.id) {
-                true => Load::again(now, &it.failure_domain),
-                false if is_in_use => Load::new(now, &it.failure_domain).joining(&it.id),
-                false => Load::new(now, &it.failure_domain),
+                true => EndpointLoad::restarted(now, &it.failure_domain),
+                false if is_in_use => {
+                    EndpointLoad::new(now, &it.failure_domain).recently_joined(&it.id)
+                }
+                false => EndpointLoad::new(now, &it.failure_domain),
             })
         };
         self.loads = self.endpoints().iter().map(load_of).collect();
-        self.locate();
-        self.recall(now);
-        self.chill(now);
-        // Maps old endpoint positions to new ones.
-        let mut moved = vec![None; old.len()];
-        for (i, it) in self.judge.rotation.endpoints().iter().enumerate() {
-            if let Some(was) = before.position(it) {
-                moved[was] = Some(i);
+        self.update_regions();
+        self.restore_advertised(now);
+        self.update_cold_limits(now);
+        // The new position of each endpoint by its old one.
+        let mut new_positions = vec![None; old.len()];
+        for (i, it) in self.detector.rotation.endpoints().iter().enumerate() {
+            if let Some(old_position) = before.position(it) {
+                new_positions[old_position] = Some(i);
             }
         }
-        for (id, started_ms, i) in before.iter().filter(|(.., i)| moved[*i].is_none()) {
-            self.remembered.keep(now, id, started_ms, &old[i].said);
+        for (id, started_ms, i) in before.iter().filter(|(.., i)| new_positions[*i].is_none()) {
+            self.lapsed.keep(now, id, started_ms, &old[i].advertised);
         }
         self.permits.retain(|_, it| {
-            let to = moved[it.endpoint];
+            let to = new_positions[it.endpoint];
             it.endpoint = to.unwrap_or_default();
             to.is_some()
         });
@@ -322,7 +328,7 @@
             self.counts.rejected += 1;
             return Reply::Rejected { retry_after };
         }
-        self.hear_limits(now, &ask);
+        self.take_over_limits(now, &ask);
         if ask.brings_part {
             self.budget.hold_part(now, ask.reporter.node);
         }
@@ -330,8 +336,8 @@
             SendKind::First => {
                 self.counts.first += 1;
                 self.budget.first_send(now);
-                if let Some(others) = self.elsewhere.get(&ask.route) {
-                    self.served.note_elsewhere(now, *others);
+                if let Some(others) = self.elsewhere_ratios.get(&ask.route) {
+                    self.unserved.note_elsewhere(now, *others);
                 }
             }
             SendKind::FirstAgain => {}
@@ -340,16 +346,16 @@
             SendKind::Further if !ask.wait => return Reply::Full,
             SendKind::Further => {
                 self.counts.repeats_refused += 1;
-                self.served.note(now, Ending::Unserved);
+                self.unserved.note(now, Ending::Unserved);
                 return Reply::Refused { retry_after: self.mean_hold.max(MIN_RETRY_AFTER) };
             }
         }
-        self.look_around(now);
-        if let Some(choice) = self.choose_from_few(now, &ask, rng) {
+        self.refresh_inputs(now);
+        if let Some(choice) = self.choose_from_candidates(now, &ask, rng) {
             return Reply::Granted(self.grant(now, &ask, choice));
         }
         let survey = self.survey(now);
-        self.counts.looks += survey.len() as u64;
+        self.counts.endpoints_evaluated += survey.len() as u64;
         let choice = self.choose(&survey, &ask, || rng.random());
         if let Some(choice) = choice {
             if self.queue.len() == 0 {
@@ -360,7 +366,7 @@
         if !ask.wait {
             return Reply::Full;
         }
-        if let Some(retry_after) = self.closed_for(now, &ask) {
+        if let Some(retry_after) = self.retry_after_if_closed(now, &ask) {
             self.counts.queue_refused += 1;
             self.note_unserved(now, 1);
             return Reply::Refused { retry_after };
@@ -370,15 +376,15 @@
     }
 
     /// Chooses a good endpoint among a few candidates, if the service uses a working set.
-    fn choose_from_few(
+    fn choose_from_candidates(
         &mut self,
         now: Time,
         ask: &Ask,
         rng: &mut impl Rng,
     ) -> Option<(usize, Tier)> {
-        let few = self.candidates(now, ask)?;
-        let survey = self.survey_of(now, few.into_iter().map(|it| it as usize));
-        self.counts.looks += survey.len() as u64;
+        let positions = self.first_candidates(now, ask)?;
+        let survey = self.survey_of(now, positions.into_iter().map(|it| it as usize));
+        self.counts.endpoints_evaluated += survey.len() as u64;
         let choice = self.choose(&survey, ask, || rng.random());
         choice.filter(|(_, tier)| *tier < Tier::Last)
     }
@@ -397,12 +403,12 @@
         self.counts.released += 1;
         self.ended.insert(id, now);
         let load = &mut self.loads[permit.endpoint];
-        let held_slot = load.give_back(id);
+        let held_slot = load.end_request(id);
         if kind == Kind::Shed {
-            load.full_until = load.full_until.max(now + FULL_FOR);
-            self.note_shed(now, permit.sent);
+            load.full_until = load.full_until.max(now + FULL_AFTER_SHED);
+            self.note_shed(now, permit.placement);
         }
-        if kind == Kind::Answered && !permit.told.has_answer() {
+        if kind == Kind::Answered && !permit.reported.has_answer() {
             self.note_answer(now, &permit, elapsed);
         }
         if kind == Kind::Answered && held_slot {
@@ -418,11 +424,11 @@
         let withdrawn = self.queue.extract(|it| it.item.id == id);
         self.counts.withdrawn += withdrawn.len() as u32;
         self.note_unserved(now, withdrawn.len());
-        self.leave_queue(withdrawn.iter().map(|it| &it.item));
+        self.release_reserved_repeats(withdrawn.iter().map(|it| &it.item));
         self.ended.insert(id, now);
         let Some(permit) = self.permits.remove(&id) else { return Vec::new() };
         self.counts.released += 1;
-        self.loads[permit.endpoint].give_back(id);
+        self.loads[permit.endpoint].end_request(id);
         self.drain(now, rng)
     }
 
@@ -448,25 +454,25 @@
     /// Nearly free for an idle service, because a node has a dispatcher for every service.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
         let is_idle = self.permits.is_empty() && self.ended.is_empty() && self.queue.len() == 0;
-        if is_idle && self.judge.is_idle() {
+        if is_idle && self.detector.is_idle() {
             return Vec::new();
         }
-        self.judge.tick(now);
-        self.refresh_signs(now);
+        self.detector.tick(now);
+        self.refresh_likelihoods(now);
         self.suspects.tick(now);
-        self.ended.retain(|_, at| now.since(*at) < REMEMBER_ENDED);
+        self.ended.retain(|_, at| now.since(*at) < ENDED_PERMIT_RETENTION);
         let (loads, counts) = (&mut self.loads, &mut self.counts);
         self.permits.retain(|id, it| {
             let keep = now < it.expires;
             if !keep {
-                counts.expired += u32::from(loads[it.endpoint].give_back(*id));
+                counts.expired += u32::from(loads[it.endpoint].end_request(*id));
             }
             keep
         });
         let late = self.queue.extract(|it| it.deadline <= now);
         self.counts.expired_waiting += late.len() as u32;
         self.note_unserved(now, late.len());
-        self.leave_queue(late.iter().map(|it| &it.item));
+        self.release_reserved_repeats(late.iter().map(|it| &it.item));
         let mut settled: Vec<_> = late.into_iter().map(|it| self.refusal(it.item.id)).collect();
         settled.extend(self.drain(now, rng));
         settled
@@ -474,29 +480,29 @@
 
     /// After a pause of this process: forgets evidence, and ends what has expired in the meantime.
     pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
-        self.judge.forget();
+        self.detector.forget();
         self.tick(now, rng)
     }
 
     /// The endpoints and their states, as this node knows them.
     pub fn endpoints(&self) -> &[EndpointStatus] {
-        self.judge.rotation.endpoints()
+        self.detector.rotation.endpoints()
     }
 
     /// The rotation, for reports.
     pub fn rotation(&self) -> &Rotation {
-        &self.judge.rotation
+        &self.detector.rotation
     }
 
     /// Numbers of path, shared and reporter faults recognised so far.
     pub fn faults_excused(&self) -> [u64; 3] {
-        [self.judge.path_faults, self.judge.shared_faults, self.judge.reporter_faults]
+        [self.detector.path_faults, self.detector.shared_faults, self.detector.reporter_faults]
     }
 
     /// Whether this dispatcher currently grants slots. One that does not receives only reports of
     /// failures, so its conclusions must not be passed on to other nodes.
     pub fn is_dispatching(&self, now: Time) -> bool {
-        self.granted_at.is_some_and(|it| now.since(it) < IN_CHARGE_FOR)
+        self.last_grant.is_some_and(|it| now.since(it) < DISPATCHING_WINDOW)
     }
 
     /// State of the repeat budget.
@@ -508,7 +514,7 @@
     /// only these.
     pub fn newly_refused(&mut self, now: Time) -> Option<RepeatsReport> {
         let all = self.budget.refused();
-        let refused = all - std::mem::replace(&mut self.refused_before, all);
+        let refused = all - std::mem::replace(&mut self.refusals_reported, all);
         (refused > 0).then(|| RepeatsReport { refused, ..self.budget.report(now) })
     }
 
@@ -519,7 +525,7 @@
 
     /// State changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
-        self.judge.rotation.take_changes()
+        self.detector.rotation.take_changes()
     }
 
     fn grant(&mut self, now: Time, ask: &Ask, (endpoint, tier): (usize, Tier)) -> Grant {
@@ -528,13 +534,13 @@
             endpoint: it.id.clone(),
             started_ms: it.started_ms,
             addr: it.addr,
-            stall_after: self.judge.baseline.stall_after(ask.route),
-            hedge_after: self.judge.baseline.hedge_after(ask.route),
-            doubt: self.doubt(now, endpoint),
+            stall_after: self.detector.baseline.stall_after(ask.route),
+            hedge_after: self.detector.baseline.hedge_after(ask.route),
+            doubt: self.health_estimate(now, endpoint),
             trial: tier == Tier::Trial || matches!(it.state, State::Trial { .. }),
             tier,
             is_watched: self.suspects.is_watched(ask.request),
-            is_rate_limited: self.loads[endpoint].said.pace.limit().is_some(),
+            is_rate_limited: self.loads[endpoint].advertised.pacer.limit().is_some(),
         };
         let permit = Permit {
             endpoint,
@@ -547,8 +553,8 @@
             expires: now + PERMIT_LIFETIME,
             is_last_send: ask.is_last,
             is_further: ask.send == SendKind::Further,
-            told: Told::Nothing,
-            sent: self.sent_to(now, endpoint),
+            reported: Reported::Nothing,
+            placement: self.placement(now, endpoint),
         };
         if ask.send == SendKind::Further {
             self.counts.repeats += 1;
@@ -556,11 +562,11 @@
         }
         self.counts.to_limited += u32::from(grant.is_rate_limited);
         let sharers = self.sharers(&self.loads[endpoint]);
-        self.loads[endpoint].said.pace.sent(now, sharers);
-        self.working_set.note(now, endpoint, &self.loads[endpoint]);
+        self.loads[endpoint].advertised.pacer.sent(now, sharers);
+        self.working_set.note_request(now, endpoint, &self.loads[endpoint]);
         self.rate.add(now);
-        self.loads[endpoint].take(now, ask);
-        self.granted_at = Some(now);
+        self.loads[endpoint].begin_request(now, ask);
+        self.last_grant = Some(now);
         self.permits.insert(ask.id, permit);
         grant
     }
@@ -588,7 +594,7 @@
 
 /// For each route that is split: the number of its requests that go to other services for each one
 /// that comes here.
-fn elsewhere(routes: &[RouteTerms]) -> FxHashMap<u32, f64> {
+fn elsewhere_ratios(routes: &[RouteTerms]) -> FxHashMap<u32, f64> {
     let split = routes.iter().filter(|it| it.share > 0.0 && it.share < 1.0);
     split.map(|it| (it.id, 1.0 / it.share - 1.0)).collect()
 }
--- a/crates/policy/src/dispatcher/advertised.rs
+++ b/crates/policy/src/dispatcher/advertised.rs
@@ -10,44 +10,44 @@
 use crate::time::Time;
 
 /// Longest back-off that is honoured. An endpoint that needs more asks for it again.
-const MAX_REST: Duration = Duration::from_secs(600);
+const MAX_BACKOFF: Duration = Duration::from_secs(600);
 /// How long advertisements are kept after an endpoint's registry entry has gone: the entry may only
 /// have lapsed for a moment.
-const REMEMBERED_FOR: Duration = Duration::from_secs(60);
+const LAPSED_RETENTION: Duration = Duration::from_secs(60);
 /// Maximum number of endpoints without an entry whose advertisements are kept; the oldest is
 /// dropped first.
-const MAX_REMEMBERED: usize = 256;
+const MAX_LAPSED: usize = 256;
 
 /// Advertisements of one incarnation of an endpoint.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Said {
+pub(super) struct Advertised {
     /// Rate limit, and the pacing of sends under it.
-    pub(super) pace: Pace,
+    pub(super) pacer: Pace,
     /// Whether the endpoint has announced that it is leaving.
     pub(super) is_leaving: bool,
-    pub(super) rests: Rests,
+    pub(super) backoffs: Backoffs,
 }
 
-impl Said {
+impl Advertised {
     /// Whether the endpoint takes no requests of a node.
     pub(super) fn is_closed_to(&self, now: Time, node: NodeId) -> bool {
-        self.is_leaving || !self.rests.left(now, node).is_zero()
+        self.is_leaving || !self.backoffs.remaining(now, node).is_zero()
     }
 
-    fn is_anything(&self, now: Time) -> bool {
-        self.is_leaving || self.pace.limit().is_some() || self.rests.count(now) > 0
+    fn is_relevant(&self, now: Time) -> bool {
+        self.is_leaving || self.pacer.limit().is_some() || self.backoffs.count(now) > 0
     }
 }
 
 /// The nodes that an endpoint has asked to back off, and until when.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rests(Vec<(NodeId, Time)>);
+pub(super) struct Backoffs(Vec<(NodeId, Time)>);
 
-impl Rests {
+impl Backoffs {
     /// Records that a node is asked to back off. Returns whether it had no back-off before.
-    pub(super) fn ask(&mut self, now: Time, node: NodeId, length: Duration) -> bool {
+    pub(super) fn request(&mut self, now: Time, node: NodeId, length: Duration) -> bool {
         self.0.retain(|(_, until)| now < *until);
-        let until = now + length.min(MAX_REST);
+        let until = now + length.min(MAX_BACKOFF);
         match self.0.iter_mut().find(|(it, _)| *it == node) {
             Some((_, known)) => {
                 *known = until.max(*known);
@@ -61,7 +61,7 @@
     }
 
     /// Remaining back-off of a node.
-    pub(super) fn left(&self, now: Time, node: NodeId) -> Duration {
+    pub(super) fn remaining(&self, now: Time, node: NodeId) -> Duration {
         let until = self.0.iter().find(|(it, _)| *it == node).map(|(_, until)| *until);
         until.map_or(Duration::ZERO, |it| it.since(now))
     }
@@ -74,35 +74,38 @@
 
 /// Advertisements of endpoints whose registry entries have gone, by identity and start time.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Remembered(FxHashMap<(Name, u64), Absent>);
+pub(super) struct LapsedEndpoints(FxHashMap<(Name, u64), LapsedEndpoint>);
 
 #[derive(Clone, Debug)]
-struct Absent {
-    said: Said,
+struct LapsedEndpoint {
+    advertised: Advertised,
     since: Time,
 }
 
-impl Remembered {
+impl LapsedEndpoints {
     /// Keeps the advertisements of an incarnation of an endpoint, if there are any.
-    pub(super) fn keep(&mut self, now: Time, id: &Name, started_ms: u64, said: &Said) {
-        if !said.is_anything(now) {
+    pub(super) fn keep(&mut self, now: Time, id: &Name, started_ms: u64, advertised: &Advertised) {
+        if !advertised.is_relevant(now) {
             return;
         }
-        self.0.retain(|_, it| now.since(it.since) < REMEMBERED_FOR);
-        if self.0.len() >= MAX_REMEMBERED {
+        self.0.retain(|_, it| now.since(it.since) < LAPSED_RETENTION);
+        if self.0.len() >= MAX_LAPSED {
             let first = self.0.iter().min_by_key(|(_, it)| it.since).map(|(key, _)| key.clone());
             first.into_iter().for_each(|it| drop(self.0.remove(&it)));
         }
-        self.0.insert((id.clone(), started_ms), Absent { said: said.clone(), since: now });
+        self.0.insert(
+            (id.clone(), started_ms),
+            LapsedEndpoint { advertised: advertised.clone(), since: now },
+        );
     }
 
     /// Returns and removes the advertisements of an incarnation that is back, unless they are too
     /// old.
-    pub(super) fn take(&mut self, now: Time, id: &Name, started_ms: u64) -> Option<Said> {
+    pub(super) fn take(&mut self, now: Time, id: &Name, started_ms: u64) -> Option<Advertised> {
         if self.0.is_empty() {
             return None;
         }
         let known = self.0.remove(&(id.clone(), started_ms))?;
-        (now.since(known.since) < REMEMBERED_FOR).then_some(known.said)
+        (now.since(known.since) < LAPSED_RETENTION).then_some(known.advertised)
     }
 }
--- a/crates/policy/src/dispatcher/congestion.rs
+++ b/crates/policy/src/dispatcher/congestion.rs
@@ -10,10 +10,10 @@
 
 /// While congestion lasts, a request is admitted only if it is expected to end within this share of
 /// its objective; the rest is a margin because service times vary.
-const TARGET: f64 = 0.75;
+const TARGET_SHARE: f64 = 0.75;
 /// Congestion ends after waits have been shorter than this share of the objective for the length of
 /// one objective.
-const RELIEVED: f64 = 0.25;
+const RELIEF_SHARE: f64 = 0.25;
 
 /// Tracks whether queued requests have been expected to end late for longer than a burst.
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,12 +21,12 @@
     /// Since when requests have been expected to miss their objective.
     late_since: Option<Time>,
     /// Since when waits have been short.
-    calm_since: Option<Time>,
+    short_waits_since: Option<Time>,
 }
 
 /// A request that would have to wait.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Newcomer {
+pub(super) struct Arrival {
     /// Expected wait.
     pub(super) wait: Duration,
     /// Expected service time after the wait.
@@ -40,26 +40,26 @@
 impl Congestion {
     /// Records a request that waits briefly or not at all.
     pub(super) fn note_free_slot(&mut self, now: Time, objective: Duration) {
-        let since = *self.calm_since.get_or_insert(now);
+        let since = *self.short_waits_since.get_or_insert(now);
         if now.since(since) > objective {
             self.late_since = None;
         }
     }
 
     /// Whether a request may wait.
-    pub(super) fn admits(&mut self, now: Time, it: Newcomer) -> bool {
+    pub(super) fn admits(&mut self, now: Time, it: Arrival) -> bool {
         let end = it.wait + it.work;
-        if it.wait < it.objective.mul_f64(RELIEVED) {
+        if it.wait < it.objective.mul_f64(RELIEF_SHARE) {
             self.note_free_slot(now, it.objective);
         } else {
-            self.calm_since = None;
+            self.short_waits_since = None;
         }
         if end > it.objective {
             self.late_since.get_or_insert(now);
         }
         let is_lasting = self.late_since.is_some_and(|since| now.since(since) > it.objective);
         match is_lasting {
-            true => end <= it.objective.mul_f64(TARGET).min(it.left),
+            true => end <= it.objective.mul_f64(TARGET_SHARE).min(it.left),
             false => it.wait <= it.left,
         }
     }
--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -6,7 +6,7 @@
 use resources::Name;
 
 use super::Dispatcher;
-use super::choice::SOUND_AFTER;
+use super::choice::HEALTHY_AFTER;
 use crate::belief::Strain;
 use crate::rate_limit::RateLimit;
 use crate::time::Time;
@@ -53,7 +53,7 @@
     /// Sends granted to rate-limited endpoints.
     pub to_limited: u32,
     /// Endpoints evaluated in choices for newly arrived requests.
-    pub looks: u64,
+    pub endpoints_evaluated: u64,
 }
 
 /// Slots in use and state of the endpoints of a service at one moment.
@@ -93,7 +93,7 @@
     pub usage: &'static str,
     /// Whether its entry in the registry is missing.
     pub is_missing: bool,
-    /// Probability that it is unhealthy.
+    /// Probability that the endpoint is unhealthy.
     pub p_unhealthy: f64,
     /// Time since its last failure.
     pub since_failure: Option<Duration>,
@@ -111,7 +111,7 @@
 
     /// Endpoints that have been known and idle for at least two seconds.
     pub fn idle_endpoints(&self, now: Time) -> impl Iterator<Item = IdleEndpoint> + '_ {
-        let share = self.signs.share();
+        let share = self.likelihoods.share();
         let all = self.endpoints().iter().zip(&self.loads);
         let is_idle = move |idle: Option<Duration>| idle.is_none_or(|it| it >= REPORTED_IDLE);
         all.filter(move |(_, load)| is_idle(load.idle(now)) && load.age(now) >= REPORTED_IDLE).map(
@@ -119,7 +119,7 @@
                 id: it.id.clone(),
                 idle: load.idle(now),
                 state: it.state.name(),
-                usage: load.belief.usage(now, self.strain, share).name(),
+                usage: load.belief.usage(now, self.pressure, share).name(),
                 is_missing: it.is_missing,
                 p_unhealthy: load.belief.sick(now, share),
                 since_failure: load.belief.since_failure(now),
@@ -134,16 +134,16 @@
         let mut it = Occupancy::default();
         for (status, load) in self.endpoints().iter().zip(&self.loads) {
             it.in_use += load.in_use();
-            it.in_transit += load.travelling();
-            it.leaving += u32::from(load.said.is_leaving);
-            it.with_backoffs += u32::from(load.said.rests.count(now) > 0);
-            it.limited += u32::from(load.said.pace.limit().is_some());
-            it.limit_per_s += load.said.pace.limit().map_or(0.0, RateLimit::per_second);
+            it.in_transit += load.in_transit();
+            it.leaving += u32::from(load.advertised.is_leaving);
+            it.with_backoffs += u32::from(load.advertised.backoffs.count(now) > 0);
+            it.limited += u32::from(load.advertised.pacer.limit().is_some());
+            it.limit_per_s += load.advertised.pacer.limit().map_or(0.0, RateLimit::per_second);
             if !status.is_expected() {
                 continue;
             }
             it.expected += 1;
-            if load.age(now) >= REPORTED_IDLE && load.belief.failed_before(now, SOUND_AFTER) {
+            if load.age(now) >= REPORTED_IDLE && load.belief.failed_before(now, HEALTHY_AFTER) {
                 it.healthy += 1;
                 it.healthy_idle +=
                     u32::from(load.idle(now).is_none_or(|idle| idle >= REPORTED_IDLE));
@@ -155,11 +155,11 @@
     /// Whether so many requests are not served, here or by other services of a split route, that
     /// idle endpoints count against the floor; as of the last choice.
     pub fn is_under_pressure(&self) -> bool {
-        self.strain != Strain::None
+        self.pressure != Strain::None
     }
 
     /// Name of the pressure on the service as of the last choice, for logs.
     pub fn pressure_name(&self) -> &'static str {
-        self.strain.name()
+        self.pressure.name()
     }
 }
--- a/crates/policy/src/dispatcher/crash_suspects.rs
+++ b/crates/policy/src/dispatcher/crash_suspects.rs
@@ -2,12 +2,12 @@
 //!
 //! Such a request runs on one endpoint at a time, so that its copies do not crash several endpoints
 //! before the first crash is known. It never runs on the same endpoint as another such request, so
-//! that the next crash identifies the one at fault. A harmless request only loses the time until it
-//! is answered next.
+//! that the next crash identifies the one at fault. A harmless request loses
+//! nothing but the time until its next answer.
 
 use std::time::Duration;
 
-use super::load::Load;
+use super::load::EndpointLoad;
 use super::{Dispatcher, Permit};
 use crate::observation::Kind;
 use crate::permit::{Ask, Reply, Settled};
@@ -15,7 +15,7 @@
 use crate::time::Time;
 
 /// Reports of the same crash by several nodes arrive within this time.
-const SAME_CRASH: Duration = Duration::from_millis(50);
+const CRASH_REPORT_SPREAD: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
     /// Remaining time for which a request is rejected; `None` if it is not.
@@ -25,7 +25,7 @@
 
     /// Applies a rejection decided by another node.
     pub fn reject(&mut self, now: Time, it: Rejection) {
-        self.has_rejected |= self.suspects.reject(now, it);
+        self.has_new_rejections |= self.suspects.reject(now, it);
     }
 
     /// Rejections decided here since the last call.
@@ -37,12 +37,12 @@
     pub fn run_ended(&mut self, now: Time, request: RequestKey, end: RunEnd, elapsed: Duration) {
         match end {
             RunEnd::Answered => self.suspects.answered(now, request),
-            RunEnd::Crashed => self.crashed(now, request, now - (elapsed + SAME_CRASH)),
+            RunEnd::Crashed => self.crashed(now, request, now - (elapsed + CRASH_REPORT_SPREAD)),
         }
     }
 
     /// Records the end of a send whose slot this dispatcher granted.
-    pub(super) fn suspect(&mut self, now: Time, permit: &Permit, kind: Kind) {
+    pub(super) fn note_run_end(&mut self, now: Time, permit: &Permit, kind: Kind) {
         match kind {
             Kind::Answered => self.suspects.answered(now, permit.request),
             Kind::Crashed if self.endpoints()[permit.endpoint].is_expected() => {
@@ -54,16 +54,16 @@
 
     fn crashed(&mut self, now: Time, request: RequestKey, sent: Time) {
         self.suspects.crashed(now, request, sent);
-        self.has_rejected = true;
+        self.has_new_rejections = true;
     }
 
     /// Whether the request is open on an endpoint.
-    pub(super) fn is_open(&self, request: RequestKey) -> bool {
+    pub(super) fn has_open_send(&self, request: RequestKey) -> bool {
         self.loads.iter().any(|it| it.requests().any(|it| it == request))
     }
 
     /// Whether an endpoint runs a request during which another endpoint has crashed.
-    pub(super) fn runs_watched(&self, load: &Load) -> bool {
+    pub(super) fn runs_watched(&self, load: &EndpointLoad) -> bool {
         load.requests().any(|it| self.suspects.is_watched(it))
     }
 
@@ -74,13 +74,13 @@
 
     /// Removes rejected requests from the queue and returns replies for them.
     pub(super) fn turn_away_rejected(&mut self, now: Time) -> Vec<Settled> {
-        if !std::mem::take(&mut self.has_rejected) {
+        if !std::mem::take(&mut self.has_new_rejections) {
             return Vec::new();
         }
         let suspects = &self.suspects;
         let rejected = self.queue.extract(|it| suspects.rejected(now, it.item.request).is_some());
         self.counts.rejected += rejected.len() as u32;
-        self.leave_queue(rejected.iter().map(|it| &it.item));
+        self.release_reserved_repeats(rejected.iter().map(|it| &it.item));
         let answer = |ask: Ask| {
             let left = self.suspects.rejected(now, ask.request);
             let reply = Reply::Rejected { retry_after: left.unwrap_or_default() };
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::load::Slot;
-use super::{ANSWERED_LIFETIME, Dispatcher, Permit, Told};
+use super::{ANSWERED_PERMIT_LIFETIME, Dispatcher, Permit, Reported};
 use crate::belief::{Strain, Use};
 use crate::observation::{Kind, Observation};
 use crate::permit::{PermitId, Settled};
@@ -16,7 +16,7 @@
 use crate::time::Time;
 
 /// How often the learned likelihoods are refreshed.
-const REFRESH: Duration = Duration::from_millis(100);
+const LIKELIHOOD_REFRESH: Duration = Duration::from_millis(100);
 
 /// Health of an endpoint, for reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,7 +25,7 @@
     pub score: f64,
     /// Slots in use.
     pub in_use: u32,
-    /// Probability that it is unhealthy.
+    /// Probability that the endpoint is unhealthy.
     pub p_unhealthy: f64,
     /// Name of its usage, which follows from this probability.
     pub usage: &'static str,
@@ -41,20 +41,20 @@
     /// each choice.
     pub fn stalled(&mut self, now: Time, id: PermitId, elapsed: Duration) {
         let Some(permit) = self.permits.get_mut(&id) else { return };
-        match permit.told {
-            Told::Nothing => {
-                permit.told = Told::Stalled;
+        match permit.reported {
+            Reported::Nothing => {
+                permit.reported = Reported::Stalled;
                 let it = permit.observation(Kind::Stalled, elapsed);
-                self.judge.observe(now, it);
+                self.detector.observe(now, it);
             }
             // The age of a request no longer counts once its answer has begun, so that the health
             // estimate must count the stall, too.
-            Told::AnswerBegan => {
-                permit.told = Told::AnswerStalled;
+            Reported::AnswerBegan => {
+                permit.reported = Reported::AnswerStalled;
                 let it = permit.observation(Kind::Stalled, elapsed);
-                self.note(now, it);
+                self.note_outcome(now, it);
             }
-            Told::Stalled | Told::AnswerStalled => {}
+            Reported::Stalled | Reported::AnswerStalled => {}
         }
     }
 
@@ -67,14 +67,14 @@
         elapsed: Duration,
         rng: &mut impl Rng,
     ) -> Vec<Settled> {
-        let Some(permit) = self.permits.get_mut(&id).filter(|it| !it.told.has_answer()) else {
+        let Some(permit) = self.permits.get_mut(&id).filter(|it| !it.reported.has_answer()) else {
             return Vec::new();
         };
-        permit.told = Told::AnswerBegan;
+        permit.reported = Reported::AnswerBegan;
         let it = permit.observation(Kind::Answered, elapsed);
         let slot = if self.overlap.frees_slots(now) { Slot::Free } else { Slot::Held };
         if slot == Slot::Free {
-            permit.expires = now + ANSWERED_LIFETIME;
+            permit.expires = now + ANSWERED_PERMIT_LIFETIME;
             self.counts.freed_early += 1;
         }
         self.loads[it.endpoint].answer_began(id, slot);
@@ -83,16 +83,16 @@
             self.note_hold(now.since(permit.granted));
         }
         self.note_answer(now, &permit, elapsed);
-        self.note(now, it);
+        self.note_outcome(now, it);
         self.drain(now, rng)
     }
 
     /// Records the outcome of a request whose slot another dispatcher granted. An outcome of a
     /// request that may have gone to the previous incarnation of the endpoint is ignored.
     pub fn observe(&mut self, now: Time, id: &str, observation: Observation) {
-        let Some(endpoint) = self.judge.rotation.position(id) else { return };
-        if !self.loads[endpoint].is_older(now, observation.elapsed) {
-            self.note(now, Observation { endpoint, ..observation });
+        let Some(endpoint) = self.detector.rotation.position(id) else { return };
+        if !self.loads[endpoint].predates_restart(now, observation.elapsed) {
+            self.note_outcome(now, Observation { endpoint, ..observation });
         }
     }
 
@@ -100,7 +100,7 @@
     pub fn unserved_elsewhere(&mut self, now: Time, requests: u32) {
         if requests > 0 {
             self.counts.unserved_elsewhere += requests;
-            self.served.note_unserved_elsewhere(now, requests);
+            self.unserved.note_unserved_elsewhere(now, requests);
         }
     }
 
@@ -114,20 +114,20 @@
 
     /// Counts requests that ended here without being served.
     pub(super) fn note_unserved(&mut self, now: Time, requests: usize) {
-        (0..requests).for_each(|_| self.served.note(now, Ending::Unserved));
+        (0..requests).for_each(|_| self.unserved.note(now, Ending::Unserved));
     }
 
     /// Takes over the health estimates, advertisements and crash suspects of another dispatcher of
     /// the same service.
     pub fn with_health_of(mut self, now: Time, other: &Self) -> Self {
-        for (it, load) in self.judge.rotation.endpoints().iter().zip(&mut self.loads) {
-            if let Some(i) = other.judge.rotation.position(&it.id) {
+        for (it, load) in self.detector.rotation.endpoints().iter().zip(&mut self.loads) {
+            if let Some(i) = other.detector.rotation.position(&it.id) {
                 load.belief = other.loads[i].belief;
-                load.said = other.loads[i].said.clone();
+                load.advertised = other.loads[i].advertised.clone();
             }
         }
-        self.leave_as_said(now);
-        self.signs = other.signs.clone();
+        self.apply_advertised_leaving(now);
+        self.likelihoods = other.likelihoods.clone();
         self.suspects = other.suspects.clone();
         self
     }
@@ -135,7 +135,7 @@
     /// Uses an endpoint only as a last resort until `until`, as reported by the peer that
     /// dispatches the service.
     pub fn hint(&mut self, until: Time, addr: SocketAddr) {
-        for (it, load) in self.judge.rotation.endpoints().iter().zip(&mut self.loads) {
+        for (it, load) in self.detector.rotation.endpoints().iter().zip(&mut self.loads) {
             if it.addr == addr {
                 load.hinted_until = until;
             }
@@ -147,7 +147,7 @@
         let endpoints = self.endpoints().iter().zip(&self.loads);
         endpoints
             .filter(move |(_, load)| {
-                load.belief.usage(now, Strain::None, self.signs.share()) == Use::Last
+                load.belief.usage(now, Strain::None, self.likelihoods.share()) == Use::Last
             })
             .map(|(it, _)| it.addr)
     }
@@ -156,91 +156,95 @@
     pub fn evidence_of(&self, now: Time, endpoint: usize) -> EvidenceReport {
         let load = &self.loads[endpoint];
         EvidenceReport {
-            score: self.judge.score(endpoint),
+            score: self.detector.score(endpoint),
             in_use: load.in_use(),
-            p_unhealthy: load.belief.sick(now, self.signs.share()),
-            usage: load.belief.usage(now, self.strain, self.signs.share()).name(),
+            p_unhealthy: load.belief.sick(now, self.likelihoods.share()),
+            usage: load.belief.usage(now, self.pressure, self.likelihoods.share()).name(),
             since_failure: load.belief.since_failure(now),
-            rate_limit: load.said.pace.limit(),
+            rate_limit: load.advertised.pacer.limit(),
         }
     }
 
+    /// Learns from the outcome of a request whose slot was granted here.
     pub(super) fn learn(&mut self, now: Time, permit: Permit, kind: Kind, elapsed: Duration) {
         match kind {
             Kind::Answered => {
                 self.counts.answered += 1;
-                self.served.note(now, Ending::Served);
+                self.unserved.note(now, Ending::Served);
             }
             Kind::Failed | Kind::Crashed if permit.is_last_send => {
                 self.counts.failed += 1;
-                self.served.note(now, Ending::Unserved);
+                self.unserved.note(now, Ending::Unserved);
             }
             Kind::TimedOut => {
                 self.counts.timed_out += 1;
-                self.served.note(now, Ending::Unserved);
+                self.unserved.note(now, Ending::Unserved);
             }
             Kind::Shed if permit.is_last_send && permit.is_further => {
                 self.counts.shed_last += 1;
-                self.served.note(now, Ending::Unserved);
+                self.unserved.note(now, Ending::Unserved);
             }
             _ => {}
         }
-        self.suspect(now, &permit, kind);
+        self.note_run_end(now, &permit, kind);
         let it = permit.observation(kind, elapsed);
-        match permit.told {
-            Told::Nothing => self.note(now, it),
-            Told::Stalled => self.believe(now, it),
-            Told::AnswerBegan | Told::AnswerStalled if kind == Kind::Answered => {}
-            Told::AnswerBegan | Told::AnswerStalled => self.note(now, it),
+        match permit.reported {
+            Reported::Nothing => self.note_outcome(now, it),
+            Reported::Stalled => self.update_belief(now, it),
+            Reported::AnswerBegan | Reported::AnswerStalled if kind == Kind::Answered => {}
+            Reported::AnswerBegan | Reported::AnswerStalled => self.note_outcome(now, it),
         }
     }
 
-    pub(super) fn refresh_signs(&mut self, now: Time) {
-        if now.since(self.refreshed) < REFRESH {
+    pub(super) fn refresh_likelihoods(&mut self, now: Time) {
+        if now.since(self.likelihoods_refreshed) < LIKELIHOOD_REFRESH {
             return;
         }
-        self.refreshed = now;
-        let rest = self.signs.share();
+        self.likelihoods_refreshed = now;
+        let prior = self.likelihoods.share();
         let in_use = self.loads.iter().filter(|it| it.belief.is_recent(now));
-        self.signs.refresh(in_use.map(|it| it.belief.sick(now, rest)));
+        self.likelihoods.refresh(in_use.map(|it| it.belief.sick(now, prior)));
     }
 
-    fn note(&mut self, now: Time, it: Observation) {
-        self.believe(now, it);
-        self.judge.observe(now, it);
+    /// Passes an outcome to the health estimate and to outlier detection.
+    fn note_outcome(&mut self, now: Time, it: Observation) {
+        self.update_belief(now, it);
+        self.detector.observe(now, it);
     }
 
-    fn believe(&mut self, now: Time, it: Observation) {
-        let ratio = self.ratio(&it);
-        let rest = self.signs.share();
+    fn update_belief(&mut self, now: Time, it: Observation) {
+        let ratio = self.likelihood_ratio(&it);
+        let prior = self.likelihoods.share();
         let belief = &mut self.loads[it.endpoint].belief;
-        let before = belief.usage(now, Strain::None, rest);
-        belief.observe(now, it.kind, it.reporter, it.elapsed, ratio, rest);
-        if before != Use::Last && belief.usage(now, Strain::None, rest) == Use::Last {
+        let before = belief.usage(now, Strain::None, prior);
+        belief.observe(now, it.kind, it.reporter, it.elapsed, ratio, prior);
+        if before != Use::Last && belief.usage(now, Strain::None, prior) == Use::Last {
             let reason = match it.kind {
                 Kind::Unreachable => "used last: several nodes in a row cannot reach it",
                 it if it.is_silence() => "used last: a request had no answer",
                 _ => "used last: a request failed",
             };
-            self.judge.rotation.remark(it.endpoint, reason);
+            self.detector.rotation.remark(it.endpoint, reason);
         }
-        let sick = self.loads[it.endpoint].belief.sick(now, rest);
-        self.signs.learn(it.kind, sick);
+        let p_unhealthy = self.loads[it.endpoint].belief.sick(now, prior);
+        self.likelihoods.learn(it.kind, p_unhealthy);
         match it.kind {
             Kind::TimedOut | Kind::Beaten | Kind::Abandoned => {
-                self.judge.baseline.add_unanswered(it.route, it.elapsed, 1.0 - sick);
+                self.detector.baseline.add_unanswered(it.route, it.elapsed, 1.0 - p_unhealthy);
+            }
+            Kind::Failed | Kind::Crashed => {
+                self.detector.baseline.add_failed(it.route, 1.0 - p_unhealthy)
             }
-            Kind::Failed | Kind::Crashed => self.judge.baseline.add_failed(it.route, 1.0 - sick),
             _ => {}
         }
     }
 
     /// Likelihood ratio of an outcome, unhealthy against healthy.
-    fn ratio(&self, it: &Observation) -> f64 {
-        let baseline = &self.judge.baseline;
+    fn likelihood_ratio(&self, it: &Observation) -> f64 {
+        let baseline = &self.detector.baseline;
         match it.kind.is_silence() {
-            true => self.signs.silence(baseline.still_open(it.route, it.elapsed)),
-            false => self.signs.ratio(baseline, it.kind, it.route),
+            true => self.likelihoods.silence(baseline.still_open(it.route, it.elapsed)),
+            false => self.likelihoods.ratio(baseline, it.kind, it.route),
         }
     }
 }
--- a/crates/policy/src/dispatcher/idle.rs
+++ b/crates/policy/src/dispatcher/idle.rs
@@ -23,42 +23,42 @@
 /// Share of the active endpoints that the availability target surely counts. The others may be
 /// slow, cut off from the platform or behind bad links, which causes no visible failures; eight of
 /// 19 have been left out at once.
-const SURELY_SOUND: f64 = 0.55;
+const MIN_COUNTED_SHARE: f64 = 0.55;
 
-/// An endpoint that may take work, as input of [`due_after`].
+/// An endpoint that may take work, as input of [`probe_after`].
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Rested {
+pub(crate) struct IdleCandidate {
     /// Time since its last request; `None` if it had none.
     pub(crate) idle: Option<Duration>,
     /// Whether the availability target may count it as healthy because its last failure is old.
-    pub(crate) may_be_sound: bool,
+    pub(crate) may_be_healthy: bool,
     /// Whether it has been known for long enough to count as healthy.
     pub(crate) is_settled: bool,
     /// Whether it is in rotation and can be probed.
-    pub(crate) is_open: bool,
+    pub(crate) is_in_rotation: bool,
 }
 
 /// Returns the idle time after which an endpoint is due for a probe in a service with spare slots,
 /// where at least the share `floor` of the healthy endpoints must get work.
-pub(crate) fn due_after(endpoints: impl Iterator<Item = Rested>, floor: f64) -> Duration {
-    let mut alone = Vec::new();
-    let mut out = 0;
-    let mut at_work = 0;
-    for it in endpoints.filter(|it| it.may_be_sound) {
+pub(crate) fn probe_after(endpoints: impl Iterator<Item = IdleCandidate>, floor: f64) -> Duration {
+    let mut idle_times = Vec::new();
+    let mut out_of_rotation = 0;
+    let mut active = 0;
+    for it in endpoints.filter(|it| it.may_be_healthy) {
         match it.idle {
-            Some(idle) if idle > ALONE_AFTER && it.is_open => alone.push(idle),
-            Some(idle) if idle > ALONE_AFTER => out += 1,
-            Some(_) => at_work += usize::from(it.is_settled),
+            Some(idle) if idle > ALONE_AFTER && it.is_in_rotation => idle_times.push(idle),
+            Some(idle) if idle > ALONE_AFTER => out_of_rotation += 1,
+            Some(_) => active += usize::from(it.is_settled),
             None => {}
         }
     }
     // The floor requires its share of the active and idle endpoints together to be active.
-    let allowed = (SURELY_SOUND * at_work as f64 * (1.0 - floor) / floor) as usize;
-    let may_rest = allowed.saturating_sub(out);
+    let allowed = (MIN_COUNTED_SHARE * active as f64 * (1.0 - floor) / floor) as usize;
+    let may_stay_idle = allowed.saturating_sub(out_of_rotation);
     // All endpoints that have been idle longer than those that may stay idle are due.
-    alone.sort_unstable();
-    match may_rest.checked_sub(1) {
-        Some(last) => alone.get(last).copied().unwrap_or(Duration::MAX),
+    idle_times.sort_unstable();
+    match may_stay_idle.checked_sub(1) {
+        Some(last) => idle_times.get(last).copied().unwrap_or(Duration::MAX),
         None => ALONE_AFTER,
     }
 }
--- a/crates/policy/src/dispatcher/load.rs
+++ b/crates/policy/src/dispatcher/load.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::advertised::Said;
+use super::advertised::Advertised;
 use crate::baseline::Baseline;
 use crate::belief::Belief;
 use crate::permit::{Ask, PermitId};
@@ -15,7 +15,7 @@
 
 /// State of one endpoint in a dispatcher.
 #[derive(Clone, Debug)]
-pub(super) struct Load {
+pub(super) struct EndpointLoad {
     /// Hash of its failure domain.
     pub(super) failure_domain: u64,
     /// Hash of its region, if known.
@@ -26,23 +26,23 @@
     pub(super) hinted_until: Time,
     pub(super) belief: Belief,
     /// What it has advertised in its answers.
-    pub(super) said: Said,
+    pub(super) advertised: Advertised,
     /// Remaining warm-up time when the registry last changed it.
-    pub(super) told_warm_up: Duration,
+    pub(super) registered_warm_up: Duration,
     /// Whether its failure domain was evacuated at the last update from the registry.
     pub(super) was_evacuated: bool,
     open: Vec<OpenSend>,
     /// Time of its last request.
-    used_at: Option<Time>,
+    last_used: Option<Time>,
     /// Since when this dispatcher has known it.
     known_since: Time,
     /// Whether an earlier incarnation of it was known here.
-    began_again: bool,
+    has_restarted: bool,
     /// Whether it joined while the service was already dispatched here, and has had no request yet.
-    pub(super) is_newcomer: bool,
+    pub(super) is_recently_joined: bool,
     /// Position of its first request in the introduction period of recently joined endpoints, from
     /// 0 to 1.
-    pub(super) turn: f64,
+    pub(super) introduction_offset: f64,
 }
 
 /// A request that has not ended.
@@ -59,9 +59,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     /// The answer has not begun.
-    AtWork,
+    Working,
     /// The answer is in transit. The age of the request is no evidence any more.
-    Travels(Slot),
+    InTransit(Slot),
 }
 
 /// Whether an answer in transit occupies a slot.
@@ -75,11 +75,11 @@
 
 impl OpenSend {
     fn holds_slot(&self) -> bool {
-        self.progress != Progress::Travels(Slot::Free)
+        self.progress != Progress::InTransit(Slot::Free)
     }
 }
 
-impl Load {
+impl EndpointLoad {
     pub(super) fn new(now: Time, failure_domain: &str) -> Self {
         Self {
             failure_domain: stable_hash(failure_domain.as_bytes()),
@@ -87,33 +87,33 @@
             full_until: Time::default(),
             hinted_until: Time::default(),
             belief: Belief::default(),
-            said: Said::default(),
-            told_warm_up: Duration::ZERO,
+            advertised: Advertised::default(),
+            registered_warm_up: Duration::ZERO,
             was_evacuated: false,
             open: Vec::new(),
-            used_at: None,
+            last_used: None,
             known_since: now,
-            began_again: false,
-            is_newcomer: false,
-            turn: 0.0,
+            has_restarted: false,
+            is_recently_joined: false,
+            introduction_offset: 0.0,
         }
     }
 
     /// Marks an endpoint that joins while the service is dispatched. The hash of its identity
     /// spreads the first requests of endpoints that join together.
-    pub(super) fn joining(self, id: &str) -> Self {
-        let turn = stable_hash(id.as_bytes()) as f64 / u64::MAX as f64;
-        Self { is_newcomer: true, turn, ..self }
+    pub(super) fn recently_joined(self, id: &str) -> Self {
+        let introduction_offset = stable_hash(id.as_bytes()) as f64 / u64::MAX as f64;
+        Self { is_recently_joined: true, introduction_offset, ..self }
     }
 
     /// Creates the state of a restarted endpoint, whose previous incarnation was known here.
-    pub(super) fn again(now: Time, failure_domain: &str) -> Self {
-        Self { began_again: true, ..Self::new(now, failure_domain) }
+    pub(super) fn restarted(now: Time, failure_domain: &str) -> Self {
+        Self { has_restarted: true, ..Self::new(now, failure_domain) }
     }
 
     /// Whether a request that took `elapsed` until now may have gone to the previous incarnation.
-    pub(super) fn is_older(&self, now: Time, elapsed: Duration) -> bool {
-        self.began_again && elapsed > self.age(now)
+    pub(super) fn predates_restart(&self, now: Time, elapsed: Duration) -> bool {
+        self.has_restarted && elapsed > self.age(now)
     }
 
     /// Distance from a node in this failure domain and region.
@@ -127,11 +127,11 @@
 
     /// Time since its last request; `None` if it had none.
     pub(super) fn idle(&self, now: Time) -> Option<Duration> {
-        self.used_at.map(|it| now.since(it))
+        self.last_used.map(|it| now.since(it))
     }
 
     /// Time since its last request, or since it became known here if it had none.
-    pub(super) fn alone(&self, now: Time) -> Duration {
+    pub(super) fn idle_or_age(&self, now: Time) -> Duration {
         self.idle(now).unwrap_or(self.age(now))
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Answers in transit that hold no slot.
-    pub(super) fn travelling(&self) -> u32 {
+    pub(super) fn in_transit(&self) -> u32 {
         self.open.len() as u32 - self.in_use()
     }
 
@@ -156,15 +156,15 @@
     }
 
     /// Adds a request that takes a slot.
-    pub(super) fn take(&mut self, now: Time, ask: &Ask) {
-        self.used_at = Some(now);
-        self.is_newcomer = false;
+    pub(super) fn begin_request(&mut self, now: Time, ask: &Ask) {
+        self.last_used = Some(now);
+        self.is_recently_joined = false;
         let Ask { id, route, request, .. } = *ask;
-        self.open.push(OpenSend { id, since: now, route, request, progress: Progress::AtWork });
+        self.open.push(OpenSend { id, since: now, route, request, progress: Progress::Working });
     }
 
     /// Removes a request; returns whether it still held its slot.
-    pub(super) fn give_back(&mut self, id: PermitId) -> bool {
+    pub(super) fn end_request(&mut self, id: PermitId) -> bool {
         let held = self.open.iter().any(|it| it.id == id && it.holds_slot());
         self.open.retain(|it| it.id != id);
         held
@@ -178,15 +178,15 @@
     /// Records that the answer to a request has begun.
     pub(super) fn answer_began(&mut self, id: PermitId, slot: Slot) {
         let open = self.open.iter_mut().find(|it| it.id == id);
-        open.into_iter().for_each(|it| it.progress = Progress::Travels(slot));
+        open.into_iter().for_each(|it| it.progress = Progress::InTransit(slot));
     }
 
     /// Likelihood ratio, unhealthy against healthy, of having answered none of its open requests by
     /// now.
-    pub(super) fn silence(&self, now: Time, baseline: &Baseline, signs: &Signs) -> f64 {
-        let waiting = self.open.iter().filter(|it| it.progress == Progress::AtWork);
+    pub(super) fn silence_ratio(&self, now: Time, baseline: &Baseline, likelihoods: &Signs) -> f64 {
+        let waiting = self.open.iter().filter(|it| it.progress == Progress::Working);
         let ratio =
-            |it: &OpenSend| signs.silence(baseline.still_open(it.route, now.since(it.since)));
+            |it: &OpenSend| likelihoods.silence(baseline.still_open(it.route, now.since(it.since)));
         waiting.map(ratio).product()
     }
 }
--- a/crates/policy/src/dispatcher/notices.rs
+++ b/crates/policy/src/dispatcher/notices.rs
@@ -12,11 +12,11 @@
 
 /// Longest time for which an endpoint is treated as full for all nodes after it asked one node to
 /// back off.
-const MAX_FULL: Duration = Duration::from_secs(1);
+const MAX_FULL_AFTER_BACKOFF: Duration = Duration::from_secs(1);
 
 /// `retry_after` for a request that must not use the failure domains of the available endpoints.
 /// Such a request is not queued.
-const BARRED_FOR: Duration = Duration::from_secs(5);
+const BARRED_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Dispatcher {
     /// Applies a notice that an endpoint sent in an answer to the node `by`. Notices of another
@@ -29,29 +29,29 @@
         started_ms: u64,
         notice: Notice,
     ) -> bool {
-        let Some(endpoint) = self.judge.rotation.position(id) else { return false };
+        let Some(endpoint) = self.detector.rotation.position(id) else { return false };
         if self.endpoints()[endpoint].started_ms != started_ms {
             return false;
         }
         match notice {
-            Notice::RateLimit(limit) => self.loads[endpoint].said.pace.hear(now, now, limit),
+            Notice::RateLimit(limit) => self.loads[endpoint].advertised.pacer.hear(now, now, limit),
             Notice::Leaving => {
-                self.judge.rotation.leave(now, endpoint);
-                !std::mem::replace(&mut self.loads[endpoint].said.is_leaving, true)
+                self.detector.rotation.leave(now, endpoint);
+                !std::mem::replace(&mut self.loads[endpoint].advertised.is_leaving, true)
             }
             Notice::Rest(length) => {
                 let load = &mut self.loads[endpoint];
-                load.full_until = load.full_until.max(now + length.min(MAX_FULL));
-                load.said.rests.ask(now, by, length)
+                load.full_until = load.full_until.max(now + length.min(MAX_FULL_AFTER_BACKOFF));
+                load.advertised.backoffs.request(now, by, length)
             }
         }
     }
 
     /// Whether an endpoint takes no requests of a node because of its notices, or is evacuated.
     pub fn is_closed(&self, now: Time, node: NodeId, id: &str, started_ms: u64) -> bool {
-        let Some(i) = self.judge.rotation.position(id) else { return false };
+        let Some(i) = self.detector.rotation.position(id) else { return false };
         let (it, load) = (&self.endpoints()[i], &self.loads[i]);
-        let is_closed = it.is_evacuated || load.said.is_closed_to(now, node);
+        let is_closed = it.is_evacuated || load.advertised.is_closed_to(now, node);
         is_closed && it.started_ms == started_ms
     }
 
@@ -62,56 +62,57 @@
 
     fn closed_to(&self, now: Time, node: NodeId) -> impl Iterator<Item = &EndpointStatus> {
         let all = self.endpoints().iter().zip(&self.loads);
-        all.filter(move |(_, load)| load.said.is_closed_to(now, node)).map(|(it, _)| it)
+        all.filter(move |(_, load)| load.advertised.is_closed_to(now, node)).map(|(it, _)| it)
     }
 
     /// Restores the advertisements of endpoints whose registry entries had lapsed and are back.
-    pub(super) fn recall(&mut self, now: Time) {
+    pub(super) fn restore_advertised(&mut self, now: Time) {
         for i in 0..self.loads.len() {
-            let it = &self.judge.rotation.endpoints()[i];
-            if let Some(said) = self.remembered.take(now, &it.id, it.started_ms) {
-                self.loads[i].said = said;
+            let it = &self.detector.rotation.endpoints()[i];
+            if let Some(advertised) = self.lapsed.take(now, &it.id, it.started_ms) {
+                self.loads[i].advertised = advertised;
             }
         }
-        self.leave_as_said(now);
+        self.apply_advertised_leaving(now);
     }
 
     /// Takes endpoints out of rotation that have advertised that they are leaving, whatever the
     /// registry says.
-    pub(super) fn leave_as_said(&mut self, now: Time) {
-        for i in (0..self.loads.len()).filter(|i| self.loads[*i].said.is_leaving) {
-            self.judge.rotation.leave(now, i);
+    pub(super) fn apply_advertised_leaving(&mut self, now: Time) {
+        for i in (0..self.loads.len()).filter(|i| self.loads[*i].advertised.is_leaving) {
+            self.detector.rotation.leave(now, i);
         }
     }
 
     /// Whether an endpoint has asked some node to back off.
-    pub(super) fn has_rests(&self, now: Time) -> bool {
-        self.loads.iter().any(|it| it.said.rests.count(now) > 0)
+    pub(super) fn has_backoffs(&self, now: Time) -> bool {
+        self.loads.iter().any(|it| it.advertised.backoffs.count(now) > 0)
     }
 
     /// Returns a `retry_after` if no usable endpoint takes the request within the longest
     /// acceptable wait, because all have asked the node to back off or are in failure domains that
     /// the request must not use. It is short if other nodes could be served at once.
-    pub(super) fn closed_for(&self, now: Time, ask: &Ask) -> Option<Duration> {
+    pub(super) fn retry_after_if_closed(&self, now: Time, ask: &Ask) -> Option<Duration> {
         let node = ask.reporter.node;
-        let mut rests = Vec::new();
+        let mut backoffs = Vec::new();
         for (it, load) in self.endpoints().iter().zip(&self.loads) {
             if it.usable_slots(now) == 0 {
                 continue;
             }
             if ask.bars(load.failure_domain) {
-                rests.push((BARRED_FOR, false));
+                backoffs.push((BARRED_RETRY_AFTER, false));
                 continue;
             }
-            let rest = load.said.rests.left(now, node);
-            if rest.is_zero() && !ask.closed.contains(&it.addr) {
+            let backoff = load.advertised.backoffs.remaining(now, node);
+            if backoff.is_zero() && !ask.closed.contains(&it.addr) {
                 return None;
             }
-            rests.push((rest, load.said.rests.count(now) < self.nodes));
+            backoffs.push((backoff, load.advertised.backoffs.count(now) < self.nodes));
         }
-        let (soonest, _) = rests.iter().min()?;
-        let elsewhere = rests.iter().any(|(_, is_open_to_others)| *is_open_to_others);
-        let retry_after = if elsewhere { MIN_RETRY_AFTER } else { (*soonest).max(MIN_RETRY_AFTER) };
-        (*soonest > self.patience(ask)).then_some(retry_after)
+        let (soonest, _) = backoffs.iter().min()?;
+        let others_may_send = backoffs.iter().any(|(_, is_open_to_others)| *is_open_to_others);
+        let retry_after =
+            if others_may_send { MIN_RETRY_AFTER } else { (*soonest).max(MIN_RETRY_AFTER) };
+        (*soonest > self.max_wait(ask)).then_some(retry_after)
     }
 }
--- a/crates/policy/src/dispatcher/overlap.rs
+++ b/crates/policy/src/dispatcher/overlap.rs
@@ -17,30 +17,31 @@
 const MIN_SENDS: f64 = 16.0;
 /// Time constant of the decay of older sends, in seconds. Only sends of about the same time are
 /// comparable, because a service gets slower and faster as a whole.
-const COUNTS_FOR: f64 = 5.0;
+const MEMORY_S: f64 = 5.0;
 /// Slots are held if the share of overlapping sends that are shed exceeds that of regular sends by
 /// more than this.
-const SHED_MORE: f64 = 0.2;
+const MAX_EXTRA_SHED_SHARE: f64 = 0.2;
 /// Slots are held if overlapping sends take more than this many times as long to be answered as
 /// regular sends. Endpoints also get slower when they are nearly full, which is no reason to leave
 /// slots unused.
-const SLOWER: f64 = 2.0;
+const MAX_SLOWDOWN: f64 = 2.0;
 /// How long slots are held before overlapping sends are tried again; doubles each time.
-const HELD_FOR: Duration = Duration::from_secs(10);
+const FIRST_HOLD_PERIOD: Duration = Duration::from_secs(10);
 /// Upper bound of this time.
-const MAX_HELD_FOR: Duration = Duration::from_secs(320);
+const MAX_HOLD_PERIOD: Duration = Duration::from_secs(320);
 
 /// Compares sends that overlap with answers in transit to regular sends.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Overlap {
     /// Sends to endpoints that would have had no free slot if answers in transit held theirs.
-    beside: Tally,
+    overlapping: Tally,
     /// All other sends.
-    alone: Tally,
-    /// The period in which answers in transit hold their slots.
+    regular: Tally,
+    /// The latest period in which answers in transit hold their slots, if there was one.
     held: Option<Held>,
 }
 
+/// A period in which answers in transit hold their slots.
 #[derive(Clone, Copy, Debug)]
 struct Held {
     until: Time,
@@ -49,14 +50,16 @@
 
 /// Whether a send fits on its endpoint only because answers in transit hold no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sent {
-    Alone,
-    BesideAnswers,
+pub(super) enum Placement {
+    /// The endpoint would have had a free slot in any case.
+    Regular,
+    /// The endpoint has a free slot only because of answers in transit.
+    Overlapping,
 }
 
 /// How an endpoint responded to a send.
 #[derive(Clone, Copy, Debug)]
-enum Began {
+enum SendResponse {
     /// Turned away before any work.
     Shed,
     /// The answer began after this multiple of the objective.
@@ -71,6 +74,7 @@
     answered: f64,
     /// Sum of the times until the answers began, in multiples of the objective.
     took: f64,
+    /// Time up to which the counts have decayed.
     at: Time,
 }
 
@@ -81,45 +85,46 @@
     }
 
     /// Records the response to a send.
-    fn note(&mut self, now: Time, sent: Sent, began: Began) {
-        match sent {
-            Sent::Alone => self.alone.add(now, began),
-            Sent::BesideAnswers => self.beside.add(now, began),
+    fn note(&mut self, now: Time, placement: Placement, response: SendResponse) {
+        match placement {
+            Placement::Regular => self.regular.add(now, response),
+            Placement::Overlapping => self.overlapping.add(now, response),
         }
-        self.alone.fade(now);
-        if sent == Sent::BesideAnswers && self.are_held() {
-            let length = self.held.map_or(HELD_FOR, |it| (it.length * 2).min(MAX_HELD_FOR));
+        self.regular.decay(now);
+        if placement == Placement::Overlapping && self.must_hold_slots() {
+            let length =
+                self.held.map_or(FIRST_HOLD_PERIOD, |it| (it.length * 2).min(MAX_HOLD_PERIOD));
             self.held = Some(Held { until: now + length, length });
-            self.beside = Tally::default();
+            self.overlapping = Tally::default();
         }
     }
 
-    fn are_held(&self) -> bool {
-        let (beside, alone) = (&self.beside, &self.alone);
-        let is_known = beside.sends >= MIN_SENDS;
-        let is_shed = beside.shed_share() > alone.shed_share() + SHED_MORE;
-        let is_slower = beside.answered >= MIN_SENDS
-            && alone.answered >= MIN_SENDS
-            && beside.mean_took() > SLOWER * alone.mean_took();
+    fn must_hold_slots(&self) -> bool {
+        let (overlapping, regular) = (&self.overlapping, &self.regular);
+        let is_known = overlapping.sends >= MIN_SENDS;
+        let is_shed = overlapping.shed_share() > regular.shed_share() + MAX_EXTRA_SHED_SHARE;
+        let is_slower = overlapping.answered >= MIN_SENDS
+            && regular.answered >= MIN_SENDS
+            && overlapping.mean_took() > MAX_SLOWDOWN * regular.mean_took();
         is_known && (is_shed || is_slower)
     }
 }
 
 impl Tally {
-    fn fade(&mut self, now: Time) {
-        let kept = (-now.seconds_since(self.at) / COUNTS_FOR).exp();
+    fn decay(&mut self, now: Time) {
+        let kept = (-now.seconds_since(self.at) / MEMORY_S).exp();
         for it in [&mut self.sends, &mut self.shed, &mut self.answered, &mut self.took] {
             *it *= kept;
         }
         self.at = now;
     }
 
-    fn add(&mut self, now: Time, began: Began) {
-        self.fade(now);
+    fn add(&mut self, now: Time, response: SendResponse) {
+        self.decay(now);
         self.sends += 1.0;
-        match began {
-            Began::Shed => self.shed += 1.0,
-            Began::Answered(took) => {
+        match response {
+            SendResponse::Shed => self.shed += 1.0,
+            SendResponse::Answered(took) => {
                 self.answered += 1.0;
                 self.took += took;
             }
@@ -137,12 +142,12 @@
 
 impl Dispatcher {
     /// Whether a send to an endpoint fits now only because answers in transit hold no slot.
-    pub(super) fn sent_to(&self, now: Time, endpoint: usize) -> Sent {
+    pub(super) fn placement(&self, now: Time, endpoint: usize) -> Placement {
         let load = &self.loads[endpoint];
         let slots = self.endpoints()[endpoint].usable_slots(now);
-        match load.in_use() + load.travelling() >= slots && load.travelling() > 0 {
-            true => Sent::BesideAnswers,
-            false => Sent::Alone,
+        match load.in_use() + load.in_transit() >= slots && load.in_transit() > 0 {
+            true => Placement::Overlapping,
+            false => Placement::Regular,
         }
     }
 
@@ -150,11 +155,11 @@
     pub(super) fn note_answer(&mut self, now: Time, permit: &Permit, elapsed: Duration) {
         let objective = permit.objective.max(Duration::from_millis(1));
         let took = elapsed.as_secs_f64() / objective.as_secs_f64();
-        self.overlap.note(now, permit.sent, Began::Answered(took));
+        self.overlap.note(now, permit.placement, SendResponse::Answered(took));
     }
 
     /// Records that a send was shed.
-    pub(super) fn note_shed(&mut self, now: Time, sent: Sent) {
-        self.overlap.note(now, sent, Began::Shed);
+    pub(super) fn note_shed(&mut self, now: Time, placement: Placement) {
+        self.overlap.note(now, placement, SendResponse::Shed);
     }
 }
--- a/crates/policy/src/dispatcher/rate_limits.rs
+++ b/crates/policy/src/dispatcher/rate_limits.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use super::load::Load;
+use super::load::EndpointLoad;
 use super::{Dispatcher, Precedence};
 use crate::permit::Ask;
 use crate::rate_limit::HeardLimit;
@@ -16,55 +16,58 @@
     /// Records that a request of this node goes to an endpoint whose slot another dispatcher
     /// granted.
     pub fn sent_elsewhere(&mut self, now: Time, id: &str) {
-        if let Some(endpoint) = self.judge.rotation.position(id) {
-            self.loads[endpoint].said.pace.sent_elsewhere(now);
+        if let Some(endpoint) = self.detector.rotation.position(id) {
+            self.loads[endpoint].advertised.pacer.sent_elsewhere(now);
         }
     }
 
     /// Rate limits that this node has received recently, latest first.
     pub fn received_limits(&self, now: Time) -> Vec<HeardLimit> {
         let all = self.endpoints().iter().zip(&self.loads);
-        let mut told: Vec<_> =
-            all.filter_map(|(it, load)| load.said.pace.told(now, it.addr)).collect();
-        told.sort_by_key(|it| it.age_ms);
-        told.truncate(Ask::MAX_LIMITS);
-        told
+        let mut limits: Vec<_> =
+            all.filter_map(|(it, load)| load.advertised.pacer.told(now, it.addr)).collect();
+        limits.sort_by_key(|it| it.age_ms);
+        limits.truncate(Ask::MAX_LIMITS);
+        limits
     }
 
     /// Takes over the limits that an asker has received, and its sends under them.
-    pub(super) fn hear_limits(&mut self, now: Time, ask: &Ask) {
+    pub(super) fn take_over_limits(&mut self, now: Time, ask: &Ask) {
         let before = |ms: u32| now - Duration::from_millis(ms.into());
         for it in &ask.limits {
-            let all = self.judge.rotation.endpoints().iter().zip(&mut self.loads);
+            let all = self.detector.rotation.endpoints().iter().zip(&mut self.loads);
             for (_, load) in all.filter(|(status, _)| status.addr == it.endpoint) {
-                load.said.pace.hear(now, before(it.age_ms), Some(it.limit));
-                it.sent_ms.map(before).into_iter().for_each(|at| load.said.pace.asker_sent(at));
+                load.advertised.pacer.hear(now, before(it.age_ms), Some(it.limit));
+                it.sent_ms
+                    .map(before)
+                    .into_iter()
+                    .for_each(|at| load.advertised.pacer.asker_sent(at));
             }
         }
     }
 
     /// Whether any endpoint is under a rate limit.
     pub fn has_limits(&self, now: Time) -> bool {
-        self.loads.iter().any(|it| it.said.pace.bound(now).is_some())
+        self.loads.iter().any(|it| it.advertised.pacer.bound(now).is_some())
     }
 
     /// Applies the registry's warm-up times of cold endpoints. When the evacuation of a failure
     /// domain ends, its endpoints are taken for cold as well until the registry reports their
     /// warm-up time.
-    pub(super) fn chill(&mut self, now: Time) {
+    pub(super) fn update_cold_limits(&mut self, now: Time) {
         let Some(rate) = self.cold_rate else { return };
-        for (it, load) in self.judge.rotation.endpoints().iter().zip(&mut self.loads) {
-            let told = std::mem::replace(&mut load.told_warm_up, it.warm_up);
+        for (it, load) in self.detector.rotation.endpoints().iter().zip(&mut self.loads) {
+            let before = std::mem::replace(&mut load.registered_warm_up, it.warm_up);
             let was_evacuated = std::mem::replace(&mut load.was_evacuated, it.is_evacuated);
-            let pace = &mut load.said.pace;
-            if told != it.warm_up {
+            let pacer = &mut load.advertised.pacer;
+            if before != it.warm_up {
                 match it.warm_up.is_zero() {
-                    true => pace.warm(),
-                    false => pace.chill(now, rate, now + it.warm_up),
+                    true => pacer.warm(),
+                    false => pacer.chill(now, rate, now + it.warm_up),
                 }
             }
-            if was_evacuated && !it.is_evacuated && !pace.is_cold(now) {
-                pace.chill(now, rate, now + self.warm_up);
+            if was_evacuated && !it.is_evacuated && !pacer.is_cold(now) {
+                pacer.chill(now, rate, now + self.warm_up);
             }
         }
     }
@@ -72,9 +75,9 @@
     /// Number of dispatchers that may send under the limit of an endpoint at the same time, each
     /// with an equal share of it. The first choice in the endpoint's region uses the whole limit;
     /// the shares of the others are so small that together they hardly exceed one more limit.
-    pub(super) fn sharers(&self, load: &Load) -> usize {
+    pub(super) fn sharers(&self, load: &EndpointLoad) -> usize {
         match self.precedence {
-            Precedence::First if !self.is_elsewhere(load) => 1,
+            Precedence::First if !self.is_in_other_region(load) => 1,
             _ => self.nodes,
         }
     }
--- a/crates/policy/src/dispatcher/waiting.rs
+++ b/crates/policy/src/dispatcher/waiting.rs
@@ -7,7 +7,7 @@
 use resources::Priority;
 
 use super::choice::Survey;
-use super::congestion::Newcomer;
+use super::congestion::Arrival;
 use super::{Dispatcher, MIN_RETRY_AFTER};
 use crate::permit::{Ask, PermitId, Places, Reply, SendKind, Settled};
 use crate::queue::Waiting;
@@ -18,12 +18,12 @@
 /// Maximum number of queued requests per slot.
 const QUEUE_PER_SLOT: f64 = 8.0;
 /// Lower bound for the number of slots in an estimate of the wait.
-const LEAST_SLOTS: f64 = 0.05;
+const MIN_SLOTS: f64 = 0.05;
 /// Minimum time between two passes over the queue of a large service. A pass evaluates all
 /// endpoints, and slots come free as often as there are requests.
-const DRAIN_EVERY: Duration = Duration::from_millis(5);
+const LARGE_DRAIN_INTERVAL: Duration = Duration::from_millis(5);
 /// Number of endpoints from which on a service is large.
-const LARGE: usize = 512;
+const LARGE_SERVICE: usize = 512;
 /// Maximum number of queued requests, whatever the number of slots, which bounds the cost of a pass
 /// over the queue.
 const MAX_QUEUE: usize = 512;
@@ -32,11 +32,11 @@
     /// Queues an ask or refuses it. `slots` is the number of slots that may be used now.
     pub(super) fn enqueue(&mut self, now: Time, ask: Ask, slots: f64) -> Reply {
         let wait = self.expected_wait(self.queue.ahead_of(ask.priority), slots);
-        let most = (slots * QUEUE_PER_SLOT).ceil() as usize;
-        let newcomer =
-            Newcomer { wait, work: self.mean_hold, objective: ask.objective, left: ask.left };
-        let may_wait = self.congestion.admits(now, newcomer);
-        if !may_wait || self.queue.len() >= most.min(MAX_QUEUE) {
+        let max_length = (slots * QUEUE_PER_SLOT).ceil() as usize;
+        let arrival =
+            Arrival { wait, work: self.mean_hold, objective: ask.objective, left: ask.left };
+        let may_wait = self.congestion.admits(now, arrival);
+        if !may_wait || self.queue.len() >= max_length.min(MAX_QUEUE) {
             self.counts.queue_refused += 1;
             self.note_unserved(now, 1);
             return Reply::Refused { retry_after: wait.max(MIN_RETRY_AFTER) };
@@ -56,18 +56,19 @@
 
     /// Expected wait of a request behind `ahead` others.
     pub(super) fn expected_wait(&self, ahead: usize, slots: f64) -> Duration {
-        self.mean_hold.mul_f64((ahead + 1) as f64 / slots.max(LEAST_SLOTS))
+        self.mean_hold.mul_f64((ahead + 1) as f64 / slots.max(MIN_SLOTS))
     }
 
     /// Grants free slots to queued requests.
     pub(super) fn drain(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
-        let is_too_soon = self.loads.len() >= LARGE && now.since(self.drained) < DRAIN_EVERY;
+        let is_too_soon =
+            self.loads.len() >= LARGE_SERVICE && now.since(self.last_drain) < LARGE_DRAIN_INTERVAL;
         if self.queue.len() == 0 || is_too_soon {
             return Vec::new();
         }
-        self.drained = now;
+        self.last_drain = now;
         let mut settled = self.turn_away_rejected(now);
-        self.look_around(now);
+        self.refresh_inputs(now);
         let mut survey = self.survey(now);
         while self.queue.len() > 0 {
             if !self.has_free_slot(&survey) {
@@ -79,9 +80,9 @@
             let ask = self.queue.get(next);
             let Some(choice) = self.choose(&survey, ask, || rng.random()) else { break };
             let ask = self.queue.take(next).item;
-            self.leave_queue(std::iter::once(&ask));
+            self.release_reserved_repeats(std::iter::once(&ask));
             let reply = Reply::Granted(self.grant(now, &ask, choice));
-            self.look_again(&mut survey, choice.0);
+            self.refresh_candidate(&mut survey, choice.0);
             settled.push(Settled { id: ask.id, reply });
         }
         settled
@@ -91,7 +92,7 @@
     /// agree in everything that affects the choice share one result, and most queued requests do
     /// agree.
     fn next_waiting(&self, survey: &Survey) -> Option<usize> {
-        let by_node = self.judge.has_path_faults() || self.has_rests(survey.now());
+        let by_node = self.detector.has_path_faults() || self.has_backoffs(survey.now());
         let may_repeat = self.budget.covers(survey.now());
         let mut known: Vec<(ChoiceKey<'_>, bool)> = Vec::new();
         self.queue.best(|ask| {
@@ -110,10 +111,11 @@
 
     /// Gives back the repeat budget reserved for asks that leave the queue. Granted asks spend
     /// their budget when the slot is granted.
-    pub(super) fn leave_queue<'a>(&mut self, asks: impl Iterator<Item = &'a Ask>) {
+    pub(super) fn release_reserved_repeats<'a>(&mut self, asks: impl Iterator<Item = &'a Ask>) {
         asks.filter(|it| it.send == SendKind::Further).for_each(|_| self.budget.give_back());
     }
 
+    /// Refuses a request that has waited until its deadline.
     pub(super) fn refusal(&self, id: PermitId) -> Settled {
         let retry_after = self.mean_hold.max(MIN_RETRY_AFTER);
         Settled { id, reply: Reply::Refused { retry_after } }
--- a/crates/policy/src/tests/idle.rs
+++ b/crates/policy/src/tests/idle.rs
@@ -255,7 +255,7 @@
             }
         }
         self.seen.sort_by_key(|it| it.at);
-        self.looks = dispatcher.take_counts().looks;
+        self.looks = dispatcher.take_counts().endpoints_evaluated;
         self
     }
 
