--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -430,6 +430,7 @@
         }
     }
 
+    /// Tier of an endpoint for a request; `None` if the endpoint must not get the request.
     fn tier(&self, candidate: &Candidate, ask: &Ask, distance: Distance) -> Option<Tier> {
         let is_near = distance == Distance::Near;
         let (now, load) = (candidate.now, &self.loads[candidate.i]);
