--- a/crates/policy/src/tests/idle.rs
+++ b/crates/policy/src/tests/idle.rs
@@ -16,7 +16,7 @@
 
 /// How endpoints become unhealthy.
 #[derive(Clone, Copy, Debug)]
-struct Sickness {
+struct FaultModel {
     /// Share of the endpoints that is unhealthy at a time.
     share: f64,
     /// Time after which the set of unhealthy endpoints changes.
@@ -50,13 +50,13 @@
     endpoints: usize,
     /// Share of the slots that is in use if nothing fails.
     use_of_slots: f64,
-    sickness: Sickness,
+    faults: FaultModel,
     outage: Option<Outage>,
     /// Share of the requests that may be repeated.
     repeatable: f64,
     split: Option<Split>,
-    /// Share of the endpoints in trouble that the dispatcher does not see. The availability target
-    /// does not count these endpoints.
+    /// Share of the endpoints that are in trouble which the dispatcher cannot see. The availability
+    /// target does not count these endpoints.
     troubled: f64,
     seconds: u64,
     seed: u64,
@@ -64,7 +64,7 @@
 
 /// One send or refusal, as the availability target counts it.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Record {
     at: Time,
     endpoint: Option<usize>,
     end: End,
@@ -78,27 +78,31 @@
     SentAgain,
 }
 
+/// Slots per endpoint.
 const SLOTS: f64 = 3.0;
+/// Mean service time of a request.
 const WORK: Duration = Duration::from_millis(230);
-const STRAY: f64 = 0.012;
+/// Share of the requests that fail at a healthy endpoint.
+const ISOLATED_FAILURES: f64 = 0.012;
+/// Share of the healthy endpoints that must get work.
 const FLOOR: f64 = 0.7;
 /// Fewest healthy endpoints for which the floor is checked: one of three may get no work by chance.
-const MIN_SOUND: usize = 8;
+const MIN_HEALTHY: usize = 8;
 /// Requests per endpoint in two seconds below which some endpoints get none by chance.
-const ENOUGH: usize = 4;
+const MIN_REQUESTS_PER_ENDPOINT: usize = 4;
 
 /// Share of the requests that was not served.
-fn unserved_share<'a>(seen: impl Iterator<Item = &'a Seen>) -> f64 {
-    let ended: Vec<_> = seen.filter(|it| it.end != End::SentAgain).collect();
+fn unserved_share<'a>(records: impl Iterator<Item = &'a Record>) -> f64 {
+    let ended: Vec<_> = records.filter(|it| it.end != End::SentAgain).collect();
     let unserved = ended.iter().filter(|it| it.end == End::Unserved).count();
     unserved as f64 / ended.len().max(1) as f64
 }
 
 /// Normal operation; tests set the size and the seed.
-const CALM: Load = Load {
+const NORMAL_OPERATION: Load = Load {
     endpoints: 0,
     use_of_slots: 0.0,
-    sickness: NOISE,
+    faults: USUAL_FAULTS,
     outage: None,
     repeatable: 0.0,
     split: None,
@@ -110,51 +114,52 @@
 impl Load {
     /// Bookings in normal operation.
     pub(super) fn bookings(endpoints: usize, use_of_slots: f64, seconds: u64) -> Self {
-        Self { endpoints, use_of_slots, seconds, seed: 1, ..CALM }
+        Self { endpoints, use_of_slots, seconds, seed: 1, ..NORMAL_OPERATION }
     }
 
     /// Number of sends in two seconds below which the floor is not checked.
-    fn enough(&self) -> usize {
-        let each = if self.split.is_some() { 1 } else { ENOUGH };
+    fn min_sends(&self) -> usize {
+        let each = if self.split.is_some() { 1 } else { MIN_REQUESTS_PER_ENDPOINT };
         each * self.endpoints
     }
 }
 
-pub(super) struct World {
+/// Simulates the endpoints of a service, its callers and one dispatcher.
+pub(super) struct Simulation {
     load: Load,
     rng: StdRng,
     /// Per endpoint: the end of its current period, and whether it is unhealthy in that period.
     health: Vec<(Time, bool)>,
     /// Ends of the open requests: time, sequence number, endpoint, and whether it is served.
     ends: BinaryHeap<Reverse<(Time, u64, usize, bool)>>,
-    seen: Vec<Seen>,
+    records: Vec<Record>,
     /// First sends of requests that may be repeated.
     repeatable: HashSet<u64>,
     /// Times of the failures of each endpoint.
     failures: Vec<Vec<Time>>,
     /// Endpoints evaluated for all requests together.
-    pub(super) looks: u64,
+    pub(super) endpoints_evaluated: u64,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn new(load: Load) -> Self {
         let mut rng = StdRng::seed_from_u64(load.seed);
-        let lasts = load.sickness.lasts;
+        let lasts = load.faults.lasts;
         let health = (0..load.endpoints)
             .map(|_| {
                 let until = Time(0) + lasts.mul_f64(rng.random());
-                (until, rng.random_bool(load.sickness.share))
+                (until, rng.random_bool(load.faults.share))
             })
             .collect();
         let failures = vec![Vec::new(); load.endpoints];
-        let (ends, seen, repeatable) = Default::default();
-        Self { load, rng, health, ends, seen, repeatable, failures, looks: 0 }
+        let (ends, records, repeatable) = Default::default();
+        Self { load, rng, health, ends, records, repeatable, failures, endpoints_evaluated: 0 }
     }
 
-    fn is_sick(&mut self, now: Time, i: usize) -> bool {
+    fn is_unhealthy(&mut self, now: Time, i: usize) -> bool {
         while now >= self.health[i].0 {
-            let until = self.health[i].0 + self.load.sickness.lasts;
-            self.health[i] = (until, self.rng.random_bool(self.load.sickness.share));
+            let until = self.health[i].0 + self.load.faults.lasts;
+            self.health[i] = (until, self.rng.random_bool(self.load.faults.share));
         }
         let is_out = self.load.outage.is_some_and(|it| {
             (it.from..it.to).contains(&now) && (i as f64) < it.share * self.load.endpoints as f64
@@ -164,7 +169,8 @@
 
     /// Starts a request on an endpoint. Unhealthy endpoints fail as soon as the work begins.
     fn begin(&mut self, now: Time, seq: u64, i: usize) {
-        let fails = if self.is_sick(now, i) { self.load.sickness.fails } else { STRAY };
+        let fails =
+            if self.is_unhealthy(now, i) { self.load.faults.fails } else { ISOLATED_FAILURES };
         let fails = self.rng.random_bool(fails);
         let took = match fails {
             true => Duration::from_millis(5),
@@ -178,7 +184,7 @@
             true => End::Unserved,
             false => End::Served,
         };
-        self.seen.push(Seen { at: now, endpoint: Some(i), end });
+        self.records.push(Record { at: now, endpoint: Some(i), end });
         self.ends.push(Reverse((now + took, seq, i, !fails)));
     }
 
@@ -195,7 +201,7 @@
                 self.begin(now, id.seq, i);
             }
             Reply::Refused { .. } | Reply::Rejected { .. } => {
-                self.seen.push(Seen { at: now, endpoint: None, end: End::Unserved });
+                self.records.push(Record { at: now, endpoint: None, end: End::Unserved });
             }
             Reply::Queued | Reply::Full => {}
         }
@@ -213,7 +219,7 @@
         let terms = [RouteTerms { share, ..TERMS }];
         let mut dispatcher = Dispatcher::new(Time(0), &service, &terms, BUDGET);
         let mut rng = StdRng::seed_from_u64(self.load.seed);
-        let mut untold = 0;
+        let mut unreported = 0;
         let slots = self.load.endpoints as f64 * SLOTS;
         let every = WORK.div_f64(slots * self.load.use_of_slots);
         let end = Time(0) + SECOND * self.load.seconds as u32;
@@ -237,7 +243,7 @@
             } else if tick <= next {
                 let settled = dispatcher.tick(tick, &mut rng);
                 self.take(tick, &dispatcher, settled);
-                dispatcher.unserved_elsewhere(tick, std::mem::take(&mut untold));
+                dispatcher.unserved_elsewhere(tick, std::mem::take(&mut unreported));
                 tick = tick + Duration::from_millis(100);
             } else {
                 let repeatable = self.rng.random_bool(self.load.repeatable);
@@ -248,20 +254,20 @@
                 let id = ask.id;
                 let reply = dispatcher.ask(next, ask, &mut rng);
                 self.reply(next, &dispatcher, id, reply);
-                untold += self.elsewhere(next);
+                unreported += self.elsewhere(next);
                 next = next + every;
                 // The odd number in between is for a second send.
                 seq += 2;
             }
         }
-        self.seen.sort_by_key(|it| it.at);
-        self.looks = dispatcher.take_counts().endpoints_evaluated;
+        self.records.sort_by_key(|it| it.at);
+        self.endpoints_evaluated = dispatcher.take_counts().endpoints_evaluated;
         self
     }
 
     /// Number of endpoints that got work.
     pub(super) fn reached(&self) -> usize {
-        self.seen.iter().filter_map(|it| it.endpoint).collect::<HashSet<_>>().len()
+        self.records.iter().filter_map(|it| it.endpoint).collect::<HashSet<_>>().len()
     }
 
     /// Adds the route's requests to other services; returns how many are not served.
@@ -272,19 +278,19 @@
             .filter(|_| at >= split.from && self.rng.random_bool(split.unserved))
             .count() as u32;
         let end = |i| if i < unserved { End::Unserved } else { End::Served };
-        self.seen.extend((0..others).map(|i| Seen { at, endpoint: None, end: end(i) }));
+        self.records.extend((0..others).map(|i| Record { at, endpoint: None, end: end(i) }));
         unserved
     }
 
     /// Share of the requests sent from `from` on that was not served.
     pub(super) fn unserved(&self, from: Time) -> f64 {
-        unserved_share(self.seen.iter().filter(|it| it.at >= from))
+        unserved_share(self.records.iter().filter(|it| it.at >= from))
     }
 
     /// The first window of two seconds in which more healthy endpoints are idle than the floor
     /// allows, whether the floor applies or not: the event that makes it apply may come right after
     /// the window.
-    fn too_many_alone(&self) -> Option<String> {
+    fn too_many_idle(&self) -> Option<String> {
         let window = SECOND * 2;
         let steps = (self.load.seconds - 8) * 10;
         (0..steps).map(|i| Time(0) + SECOND * 6 + Duration::from_millis(100 * i)).find_map(|from| {
@@ -293,15 +299,16 @@
             // An endpoint with an isolated failure counts as healthy again after two seconds.
             let failed =
                 |i: usize| self.failures[i].iter().any(|it| *it + window > from && *it < to);
-            let sound: Vec<_> = (troubled..self.load.endpoints).filter(|it| !failed(*it)).collect();
+            let healthy: Vec<_> =
+                (troubled..self.load.endpoints).filter(|it| !failed(*it)).collect();
             let is_reached = |i: usize| {
-                let mut to_it = self.seen.iter().filter(|it| it.endpoint == Some(i));
+                let mut to_it = self.records.iter().filter(|it| it.endpoint == Some(i));
                 to_it.any(|it| (from..to).contains(&it.at))
             };
-            let reached = sound.iter().filter(|i| is_reached(**i)).count();
+            let reached = healthy.iter().filter(|i| is_reached(**i)).count();
             let is_below =
-                sound.len() >= MIN_SOUND && (reached as f64) < FLOOR * sound.len() as f64;
-            is_below.then(|| format!("{from:?}: {reached} of {} sound endpoints", sound.len()))
+                healthy.len() >= MIN_HEALTHY && (reached as f64) < FLOOR * healthy.len() as f64;
+            is_below.then(|| format!("{from:?}: {reached} of {} healthy endpoints", healthy.len()))
         })
     }
 
@@ -311,10 +318,11 @@
         let steps = (self.load.seconds - 4) * 10;
         (0..steps).map(|i| Time(0) + SECOND * 2 + Duration::from_millis(100 * i)).find_map(|from| {
             let to = from + window;
-            let seen: Vec<_> = self.seen.iter().filter(|it| (from..to).contains(&it.at)).collect();
-            let share = unserved_share(seen.iter().copied());
-            let here = seen.iter().filter(|it| it.endpoint.is_some()).count();
-            if here < self.load.enough() || share <= 0.1 || share >= 0.5 {
+            let records: Vec<_> =
+                self.records.iter().filter(|it| (from..to).contains(&it.at)).collect();
+            let share = unserved_share(records.iter().copied());
+            let here = records.iter().filter(|it| it.endpoint.is_some()).count();
+            if here < self.load.min_sends() || share <= 0.1 || share >= 0.5 {
                 return None;
             }
             let is_out = |i: usize| {
@@ -329,20 +337,22 @@
                 let latest = from.0.saturating_sub(window.as_micros() as u64);
                 self.failures[i].iter().any(|it| (Time(latest)..to).contains(it))
             };
-            let sound: Vec<_> =
+            let healthy: Vec<_> =
                 (0..self.load.endpoints).filter(|i| !is_out(*i) && !failed(*i)).collect();
-            let is_reached = |i: usize| seen.iter().any(|it| it.endpoint == Some(i));
-            let reached = sound.iter().filter(|i| is_reached(**i)).count();
+            let is_reached = |i: usize| records.iter().any(|it| it.endpoint == Some(i));
+            let reached = healthy.iter().filter(|i| is_reached(**i)).count();
             let is_below = reached > 0
-                && sound.len() >= MIN_SOUND
-                && (reached as f64) < FLOOR * sound.len() as f64;
-            let n = sound.len();
-            is_below.then(|| format!("{from:?}: {reached} of {n} sound, {share:.2} unserved"))
+                && healthy.len() >= MIN_HEALTHY
+                && (reached as f64) < FLOOR * healthy.len() as f64;
+            let n = healthy.len();
+            is_below.then(|| format!("{from:?}: {reached} of {n} healthy, {share:.2} unserved"))
         })
     }
 }
 
-const NOISE: Sickness = Sickness { share: 0.3, lasts: Duration::from_secs(9), fails: 0.75 };
+/// Faults in normal operation.
+const USUAL_FAULTS: FaultModel =
+    FaultModel { share: 0.3, lasts: Duration::from_secs(9), fails: 0.75 };
 
 /// Seeds over which losses are averaged; the loss of a single seed is off by up to 0.002.
 const SEEDS: u64 = 4;
@@ -351,14 +361,14 @@
 /// every endpoint was probed 3.6 s after its last request, 4.6, 3.6 and 3.2 % were lost. With no
 /// probes while slots are spare it would be 2.6, 2.5 and 2.4 %, but the floor would be violated.
 #[test]
-fn while_slots_are_to_spare_few_bookings_are_lost_to_trials() {
+fn while_slots_are_spare_few_bookings_are_lost_to_probes() {
     for (endpoints, use_of_slots, most) in
         [(431, 0.19, 0.040), (431, 0.32, 0.031), (99, 0.3, 0.030)]
     {
-        let load = Load { endpoints, use_of_slots, ..CALM };
+        let load = Load { endpoints, use_of_slots, ..NORMAL_OPERATION };
         let lost = (1..=SEEDS).map(|seed| {
             let load = Load { seed, ..load.clone() };
-            World::new(load).play().unserved(Time(0) + SECOND * 8)
+            Simulation::new(load).play().unserved(Time(0) + SECOND * 8)
         });
         let lost = lost.sum::<f64>() / SEEDS as f64;
         assert!(lost < most, "{endpoints} endpoints at {use_of_slots}: {lost:.4}");
@@ -366,7 +376,7 @@
 }
 
 fn loads() -> impl Strategy<Value = Load> {
-    let sickness = (0.0..0.5, 1_000..12_000u64, 0.3..1.0).prop_map(|(share, ms, fails)| Sickness {
+    let faults = (0.0..0.5, 1_000..12_000u64, 0.3..1.0).prop_map(|(share, ms, fails)| FaultModel {
         share,
         lasts: Duration::from_millis(ms),
         fails,
@@ -380,11 +390,11 @@
             })
         });
     let size = prop_oneof![2..20usize, 20..100usize, 100..300usize];
-    (size, 0.1..0.95, sickness, outage, 0.0..1.0, any::<u64>()).prop_map(
-        |(endpoints, use_of_slots, sickness, outage, repeatable, seed)| Load {
+    (size, 0.1..0.95, faults, outage, 0.0..1.0, any::<u64>()).prop_map(
+        |(endpoints, use_of_slots, faults, outage, repeatable, seed)| Load {
             endpoints,
             use_of_slots,
-            sickness,
+            faults,
             outage,
             repeatable,
             split: None,
@@ -412,15 +422,15 @@
 
     /// There are never so many idle endpoints that the floor is violated while it applies.
     #[test]
-    fn the_floor_holds_whoever_is_left_alone(load in loads()) {
-        let below = World::new(load).play().below_floor();
+    fn the_floor_holds_whichever_endpoints_are_idle(load in loads()) {
+        let below = Simulation::new(load).play().below_floor();
         prop_assert!(below.is_none(), "{}", below.unwrap());
     }
 
     /// The floor also holds while most unserved requests are those of other services.
     #[test]
     fn the_floor_holds_on_split_routes(load in split_loads()) {
-        let below = World::new(load).play().below_floor();
+        let below = Simulation::new(load).play().below_floor();
         prop_assert!(below.is_none(), "{}", below.unwrap());
     }
 }
@@ -440,7 +450,7 @@
     let of = |endpoints, use_of_slots, share, unserved, seed| Load {
         endpoints,
         use_of_slots,
-        sickness: NOISE,
+        faults: USUAL_FAULTS,
         outage: None,
         repeatable: 1.0,
         split: Some(Split { share, unserved, from: Time(0) + SECOND * 4 }),
@@ -454,7 +464,7 @@
             of(57, 0.1, 0.34, 0.45, seed),
             of(24, 0.08, 0.5, 0.5, seed),
         ] {
-            let below = World::new(load.clone()).play().below_floor();
+            let below = Simulation::new(load.clone()).play().below_floor();
             assert!(below.is_none(), "{load:?}: {}", below.unwrap());
         }
     }
@@ -476,14 +486,14 @@
 /// seconds (18 of 48 at worst). This model finds work at 12 of 18 healthy endpoints where 40 % are
 /// in trouble.
 #[test]
-fn in_calm_no_more_endpoints_are_left_alone_than_the_floor_leaves() {
+fn in_normal_operation_no_more_endpoints_are_idle_than_the_floor_allows() {
     for seed in 1..=6 {
         for (endpoints, use_of_slots, troubled) in
             [(19, 0.37, 0.43), (19, 0.37, 0.0), (60, 0.3, 0.4)]
         {
-            let load = Load { endpoints, use_of_slots, troubled, seed, ..CALM };
-            let alone = World::new(load.clone()).play().too_many_alone();
-            assert!(alone.is_none(), "{load:?}: {}", alone.unwrap());
+            let load = Load { endpoints, use_of_slots, troubled, seed, ..NORMAL_OPERATION };
+            let idle = Simulation::new(load.clone()).play().too_many_idle();
+            assert!(idle.is_none(), "{load:?}: {}", idle.unwrap());
         }
     }
 }
@@ -500,12 +510,12 @@
 /// be repeated: one that meets an unhealthy endpoint costs a repeat, and the caller still gets an
 /// answer.
 #[test]
-fn work_that_may_be_sent_again_lets_no_endpoint_rest() {
+fn repeatable_work_leaves_no_endpoint_idle() {
     for seed in 1..=4 {
         let load = Load {
             endpoints: 199,
             use_of_slots: 0.32,
-            sickness: NOISE,
+            faults: USUAL_FAULTS,
             outage: None,
             repeatable: 1.0,
             split: None,
@@ -513,7 +523,7 @@
             seconds: 16,
             seed,
         };
-        let alone = World::new(load.clone()).play().too_many_alone();
-        assert!(alone.is_none(), "{load:?}: {}", alone.unwrap());
+        let idle = Simulation::new(load.clone()).play().too_many_idle();
+        assert!(idle.is_none(), "{load:?}: {}", idle.unwrap());
     }
 }
--- a/crates/policy/src/tests/working_set.rs
+++ b/crates/policy/src/tests/working_set.rs
@@ -7,15 +7,15 @@
 use resources::{Bias, Service};
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
-use super::idle::{Load, World};
+use super::idle::{Load, Simulation};
 use crate::{Ask, Dispatcher, Kind, Reply, Time};
 
 const WORK: Duration = Duration::from_millis(230);
 
 /// A thousand bookings a second, whatever the number of endpoints.
-fn thousand_a_second(endpoints: usize) -> World {
+fn thousand_a_second(endpoints: usize) -> Simulation {
     let use_of_slots = 1_000.0 * WORK.as_secs_f64() / (3 * endpoints) as f64;
-    World::new(Load::bookings(endpoints, use_of_slots, 8)).play()
+    Simulation::new(Load::bookings(endpoints, use_of_slots, 8)).play()
 }
 
 /// Three endpoints of ten fail three quarters of their requests. Spread over all 3,600 endpoints,
@@ -24,18 +24,22 @@
 #[test]
 fn evidence_does_not_thin_out_as_a_service_grows() {
     for (endpoints, most) in [(3_600, 0.04), (13_000, 0.04)] {
-        let world = thousand_a_second(endpoints);
-        let lost = world.unserved(Time(0) + SECOND);
+        let simulation = thousand_a_second(endpoints);
+        let lost = simulation.unserved(Time(0) + SECOND);
         assert!(lost < most, "{endpoints} endpoints: {lost:.4} lost");
-        assert!(world.reached() < endpoints / 2, "{} of {endpoints} used", world.reached());
+        assert!(
+            simulation.reached() < endpoints / 2,
+            "{} of {endpoints} used",
+            simulation.reached()
+        );
     }
 }
 
 #[test]
-fn what_is_looked_at_for_a_request_does_not_grow_with_the_endpoints() {
-    let looks = |endpoints| thousand_a_second(endpoints).looks / 8_000;
-    let (some, many) = (looks(3_600), looks(13_000));
-    assert!(some < 400 && many < some * 3, "{some} looks a request, then {many}");
+fn the_endpoints_evaluated_for_a_request_do_not_grow_with_the_service() {
+    let evaluated = |endpoints| thousand_a_second(endpoints).endpoints_evaluated / 8_000;
+    let (some, many) = (evaluated(3_600), evaluated(13_000));
+    assert!(some < 400 && many < some * 3, "{some} evaluated for a request, then {many}");
 }
 
 /// Sends `per_s` requests a second from `from` on, answered after `WORK`; returns the endpoints
@@ -116,7 +120,7 @@
     it.reconfigure(at, &full, &[TERMS]);
     let got = send(&mut it, &mut rng, at, 200, 8);
     let first_second = got[..200].iter().filter(|it| joined.contains(it)).count();
-    assert!(first_second < 130, "{first_second} of 200 went to newcomers");
+    assert!(first_second < 130, "{first_second} of 200 went to recently joined endpoints");
     let without = joined.iter().filter(|it| !got.contains(it)).count();
     assert_eq!(without, 0, "of {}", joined.len());
 }
