--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn long_answers_stay_in_their_failure_domain_while_they_have_the_patience() {
+fn long_answers_stay_in_their_failure_domain_while_they_can_wait() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[2, 2], 2, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -103,23 +103,23 @@
     assert_eq!(dispatcher.evidence_of(Time(2), 0).in_use, 0);
 }
 
-/// Times at which the `sick` unhealthy ones among `n` endpoints are tried while all others answer.
-fn trials(n: usize, sick: usize) -> Vec<Vec<Time>> {
+/// Times at which the `unhealthy` unhealthy ones among `n` endpoints are tried while all others answer.
+fn trials(n: usize, unhealthy: usize) -> Vec<Vec<Time>> {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[n], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
     let position = |it: &Grant| service.endpoints.iter().position(|e| e.id == it.endpoint).unwrap();
-    let mut trials = vec![Vec::new(); sick];
+    let mut trials = vec![Vec::new(); unhealthy];
     for seq in 0..4_000 {
         let now = Time(0) + Duration::from_millis(5 * seq);
         let ask = Ask { repeatable: false, is_last: true, ..ask(seq, true) };
         let id = ask.id;
         let Reply::Granted(grant) = dispatcher.ask(now, ask, &mut rng) else { continue };
         let i = position(&grant);
-        let kind = if i < sick { Kind::Failed } else { Kind::Answered };
+        let kind = if i < unhealthy { Kind::Failed } else { Kind::Answered };
         dispatcher.release(now, id, kind, Duration::from_millis(4), &mut rng);
         dispatcher.tick(now, &mut rng);
-        if i < sick {
+        if i < unhealthy {
             trials[i].push(now);
         }
     }
@@ -135,13 +135,13 @@
 /// after its last failure and as starved after two more. Endpoints that have been known for longer
 /// may stay idle for longer; see `idle.rs`.
 #[test]
-fn a_sick_endpoint_is_left_alone_for_as_long_as_the_floor_allows() {
-    for (n, sick) in [(16, 1), (10, 3), (19, 5)] {
-        for trials in trials(n, sick) {
+fn an_unhealthy_endpoint_stays_idle_for_as_long_as_the_floor_allows() {
+    for (n, unhealthy) in [(16, 1), (10, 3), (19, 5)] {
+        for trials in trials(n, unhealthy) {
             let gaps = gaps(&trials);
-            assert!(gaps.iter().all(|it| *it < 4_000), "{sick} of {n}: {gaps:?}");
+            assert!(gaps.iter().all(|it| *it < 4_000), "{unhealthy} of {n}: {gaps:?}");
             let short = gaps.iter().filter(|it| **it < 3_000).count();
-            assert!(short <= 1, "{sick} of {n}: {gaps:?}");
+            assert!(short <= 1, "{unhealthy} of {n}: {gaps:?}");
         }
     }
 }
@@ -175,7 +175,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[8], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
-    let sick: Vec<_> = dispatcher.endpoints()[..3].iter().map(|it| it.addr).collect();
+    let unhealthy: Vec<_> = dispatcher.endpoints()[..3].iter().map(|it| it.addr).collect();
     let mut last = BTreeMap::new();
     let mut longest = Duration::ZERO;
     for seq in 0..1_000 {
@@ -183,7 +183,7 @@
         let ask = Ask { repeatable: false, is_last: true, ..ask(seq, true) };
         let id = ask.id;
         let Reply::Granted(grant) = dispatcher.ask(now, ask, &mut rng) else { continue };
-        let fails = sick.contains(&grant.addr) || seq % 5 == 0;
+        let fails = unhealthy.contains(&grant.addr) || seq % 5 == 0;
         let kind = if fails { Kind::Failed } else { Kind::Answered };
         dispatcher.release(now, id, kind, Duration::from_millis(5), &mut rng);
         dispatcher.tick(now, &mut rng);
@@ -196,16 +196,16 @@
 }
 
 #[test]
-fn a_dispatcher_that_takes_over_knows_of_the_failures_that_were_told() {
+fn a_dispatcher_that_takes_over_knows_the_reported_failures() {
     let service = service(&[3], 1, Bias::Speed);
     let new = || Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
-    let mut told = new();
-    let sick = &service.endpoints[1];
+    let mut informed = new();
+    let unhealthy = &service.endpoints[1];
     let elapsed = Duration::from_millis(5);
     let it = seen(1, Kind::Failed, elapsed);
-    told.observe(Time(0), &sick.id, it);
-    let taken_over = new().with_health_of(Time(0), &told);
-    assert_eq!(taken_over.last_resort_endpoints(Time(1)).collect::<Vec<_>>(), [sick.addr]);
+    informed.observe(Time(0), &unhealthy.id, it);
+    let taken_over = new().with_health_of(Time(0), &informed);
+    assert_eq!(taken_over.last_resort_endpoints(Time(1)).collect::<Vec<_>>(), [unhealthy.addr]);
 }
 
 /// Guards against ranking last-resort endpoints by free slots: unhealthy endpoints fail fast, so
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn answers_soon_make_good_for_a_stray_failure() {
+fn answers_soon_compensate_for_an_isolated_failure() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[2], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -260,7 +260,7 @@
     };
     see(&mut dispatcher, 0, 500, Kind::Failed);
     let taken = (510..530).filter(|ms| choice(&mut dispatcher, *ms)).count();
-    assert_eq!(taken, 0, "the other one goes first");
+    assert_eq!(taken, 0, "the other endpoint ranks first");
     see(&mut dispatcher, 0, 700, Kind::Answered);
     see(&mut dispatcher, 0, 800, Kind::Answered);
     assert!((820..860).any(|ms| choice(&mut dispatcher, ms)), "it is used again");
@@ -270,7 +270,7 @@
 /// half of the endpoints as unhealthy to all nodes, and the dispatching node used these endpoints
 /// last.
 #[test]
-fn a_dispatcher_that_hands_out_nothing_is_not_in_charge() {
+fn a_dispatcher_that_grants_nothing_is_not_dispatching() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[2], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -330,9 +330,9 @@
         let ask = Ask { repeatable: false, is_last: true, ..ask(seq, true) };
         let id = ask.id;
         let Reply::Granted(grant) = dispatcher.ask(now, ask, &mut rng) else { continue };
-        let is_sick = grant.addr == service.endpoints[0].addr;
-        tries += usize::from(is_out && is_sick);
-        let kind = if is_sick || seq % 4 == 0 { Kind::Failed } else { Kind::Answered };
+        let is_unhealthy = grant.addr == service.endpoints[0].addr;
+        tries += usize::from(is_out && is_unhealthy);
+        let kind = if is_unhealthy || seq % 4 == 0 { Kind::Failed } else { Kind::Answered };
         dispatcher.release(now, id, kind, Duration::from_millis(5), &mut rng);
     }
     assert!((1..=6).contains(&tries), "{tries} tries in 10 s");
@@ -365,7 +365,7 @@
 /// Requests that lose to their hedges are cancelled before they count as stalled. Without evidence
 /// from them, a stalled service went unnoticed.
 #[test]
-fn an_endpoint_whose_requests_are_beaten_by_their_hedges_is_soon_the_last_choice() {
+fn an_endpoint_whose_requests_lose_to_their_hedges_is_soon_the_last_choice() {
     let service = service(&[3], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
     let long = TERMS.objective;
@@ -375,7 +375,7 @@
     };
     see(&mut dispatcher, 1, Kind::Abandoned, long / 20);
     see(&mut dispatcher, 2, Kind::Beaten, long);
-    assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 0, "one alone is usual");
+    assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 0, "one lost hedge is usual");
     (3..5).for_each(|node| see(&mut dispatcher, node, Kind::Beaten, long));
     assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 1);
 }
@@ -388,14 +388,14 @@
     let service = service(&[2], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
     let elapsed = Duration::from_millis(1);
-    let (doubtful, sick) = (&service.endpoints[0], &service.endpoints[1]);
+    let (doubtful, unhealthy) = (&service.endpoints[0], &service.endpoints[1]);
     let fails = seen(1, Kind::Failed, elapsed);
     let answers = seen(1, Kind::Answered, elapsed);
     let now = Time(0) + SECOND;
     for it in [answers, answers, fails] {
         dispatcher.observe(now, &doubtful.id, it);
     }
-    (0..3).for_each(|_| dispatcher.observe(now, &sick.id, fails));
+    (0..3).for_each(|_| dispatcher.observe(now, &unhealthy.id, fails));
     // Shorter than the time that a slot is held, so that no request waits for the first slot.
     let objective = Duration::from_millis(50);
     let unsafe_ask = |seq| Ask { repeatable: false, is_last: true, objective, ..ask(seq, true) };
@@ -411,7 +411,7 @@
 /// Endpoints that have just answered rank before endpoints without evidence, so a recently joined
 /// endpoint got no requests until idle ones were put first.
 #[test]
-fn an_endpoint_that_has_had_no_work_for_long_is_due() {
+fn an_endpoint_that_has_been_idle_for_long_is_probed() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[4], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -450,7 +450,7 @@
 /// Both sends of a lookup went to endpoints that hung, because the second send went to any good
 /// endpoint.
 #[test]
-fn a_further_send_goes_to_the_endpoint_least_likely_to_be_sick() {
+fn a_further_send_goes_to_the_endpoint_least_likely_to_be_unhealthy() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[6], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn a_grant_tells_how_likely_its_endpoint_is_sick_and_how_old_that_evidence_is() {
+fn a_grant_reports_how_likely_its_endpoint_is_unhealthy_and_how_old_that_evidence_is() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[1], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
