--- a/crates/policy/src/tests/dispatcher.rs
+++ b/crates/policy/src/tests/dispatcher.rs
@@ -19,7 +19,7 @@
     /// Permits that the askers consider granted.
     held: Vec<PermitId>,
     /// Endpoints that are leaving.
-    left: BTreeSet<usize>,
+    leaving: BTreeSet<usize>,
     /// Queued asks with their deadlines.
     waiting: BTreeMap<PermitId, Time>,
 }
@@ -74,7 +74,7 @@
             rng: StdRng::seed_from_u64(1),
             next: 0,
             held: Vec::new(),
-            left: BTreeSet::new(),
+            leaving: BTreeSet::new(),
             waiting: BTreeMap::new(),
         }
     }
@@ -117,9 +117,9 @@
                 self.held.iter().for_each(|id| self.dispatcher.renew(self.now, *id));
             }
             Event::Leave(i) => {
-                self.left.insert(*i);
+                self.leaving.insert(*i);
                 let mut service = service(&[3, 3], 3, Bias::Speed);
-                for i in &self.left {
+                for i in &self.leaving {
                     service.endpoints[*i].standing = Standing::Leaving;
                 }
                 self.dispatcher.reconfigure(self.now, &service, &[TERMS]);
@@ -156,7 +156,7 @@
 
     fn settle(&mut self, settled: Vec<Settled>) {
         for it in settled {
-            assert!(self.waiting.remove(&it.id).is_some(), "{it:?} was not waited for");
+            assert!(self.waiting.remove(&it.id).is_some(), "{it:?} was not queued");
             self.take(it.id, it.reply);
         }
     }
@@ -273,7 +273,7 @@
         }
     }
     let mut seq = 100;
-    let mut sick = None;
+    let mut unhealthy = None;
     let mut now = Time(0);
     while !dispatcher.endpoints().iter().any(|it| it.state.name() == "ejected") {
         seq += 1;
@@ -281,8 +281,8 @@
         let ask = ask(seq, false);
         let id = ask.id;
         let Reply::Granted(grant) = dispatcher.ask(now, ask, &mut rng) else { continue };
-        let is_sick = *sick.get_or_insert(grant.addr) == grant.addr;
-        let kind = if is_sick { Kind::Failed } else { Kind::Answered };
+        let is_unhealthy = *unhealthy.get_or_insert(grant.addr) == grant.addr;
+        let kind = if is_unhealthy { Kind::Failed } else { Kind::Answered };
         dispatcher.release(now, id, kind, Duration::from_millis(5), &mut rng);
     }
     now = now + SECOND * 3;
@@ -291,8 +291,10 @@
     for seq in 1_000..1_006 {
         let booking = Ask { repeatable: false, ..ask(seq, false) };
         let Reply::Granted(grant) = dispatcher.ask(now, booking, &mut rng) else { continue };
-        assert_ne!(Some(grant.addr), sick);
+        assert_ne!(Some(grant.addr), unhealthy);
     }
     let lookup = dispatcher.ask(now, ask(2_000, false), &mut rng);
-    assert!(matches!(lookup, Reply::Granted(grant) if Some(grant.addr) == sick && grant.trial));
+    assert!(
+        matches!(lookup, Reply::Granted(grant) if Some(grant.addr) == unhealthy && grant.trial)
+    );
 }
