--- a/crates/policy/src/tests/in_transit.rs
+++ b/crates/policy/src/tests/in_transit.rs
@@ -30,32 +30,32 @@
     slots: u32,
     /// Microseconds until an answer begins, and from then on until its last byte is sent.
     work: u64,
-    travels: u64,
+    transit: u64,
     /// Requests a second.
     rate: f64,
     worker: Worker,
     /// Requests that wait at an endpoint while its workers are busy; further ones are shed.
     queue: usize,
     /// Share of the requests that endpoints shed regardless of their load.
-    sheds: f64,
+    shed_share: f64,
 }
 
 /// Half of the capacity of 25 endpoints with two slots and 0.21 s of work per request. Tests vary
-/// `travels`; some answers are in transit for 0.43 s.
+/// `transit`; some answers are in transit for 0.43 s.
 const HALF: Load = Load {
     endpoints: 25,
     slots: 2,
     work: 210 * MS,
-    travels: 150 * MS,
+    transit: 150 * MS,
     rate: 119.0,
     worker: Worker::FreeAtHead,
     queue: 0,
-    sheds: 0.0,
+    shed_share: 0.0,
 };
 
 /// Results for callers and endpoints.
 #[derive(Debug, Default)]
-struct Seen {
+struct Results {
     asked: u32,
     served: u32,
     shed: u32,
@@ -81,7 +81,7 @@
 }
 
 /// Plays `load` for `seconds`.
-fn play(load: Load, seconds: u64) -> Seen {
+fn play(load: Load, seconds: u64) -> Results {
     let mut service = service(&[load.endpoints], 1, Bias::Speed);
     service.slots = load.slots;
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -89,7 +89,7 @@
     let mut upstreams = vec![Upstream::default(); load.endpoints];
     let mut at: BTreeMap<u64, usize> = BTreeMap::new();
     let mut events = BinaryHeap::new();
-    let mut seen = Seen::default();
+    let mut results = Results::default();
     let (mut now, mut next_tick) = (0, 0);
     events.push(std::cmp::Reverse((0, Event::Request)));
     while now < seconds * 1_000_000 {
@@ -106,8 +106,8 @@
             Event::Request => {
                 let pause = (1e6 / load.rate) as u64;
                 events.push(after(rng.random_range(pause / 2..pause * 3 / 2)));
-                seen.asked += 1;
-                let ask = Ask { left: SECOND * 4, ..ask(u64::from(seen.asked), true) };
+                results.asked += 1;
+                let ask = Ask { left: SECOND * 4, ..ask(u64::from(results.asked), true) };
                 let id = ask.id;
                 let reply = dispatcher.ask(Time(now), ask, &mut rng);
                 settled.push(Settled { id, reply });
@@ -116,14 +116,14 @@
                 let upstream: &mut Upstream = &mut upstreams[at[&seq]];
                 upstream.working -= 1;
                 upstream.sending += 1;
-                events.push(std::cmp::Reverse((now + load.travels, Event::End(seq))));
+                events.push(std::cmp::Reverse((now + load.transit, Event::End(seq))));
                 let took = Duration::from_micros(load.work);
                 settled.extend(dispatcher.answer_began(Time(now), id(seq), took, &mut rng));
             }
             Event::End(seq) => {
                 let upstream = &mut upstreams[at.remove(&seq).expect("it was sent")];
                 upstream.sending -= 1;
-                seen.served += 1;
+                results.served += 1;
                 let took = Duration::from_micros(load.work);
                 settled.extend(dispatcher.release(
                     Time(now),
@@ -135,7 +135,7 @@
             }
             Event::Shed(seq) => {
                 at.remove(&seq);
-                seen.shed += 1;
+                results.shed += 1;
                 let took = Duration::from_millis(1);
                 settled.extend(dispatcher.release(Time(now), id(seq), Kind::Shed, took, &mut rng));
             }
@@ -153,7 +153,7 @@
             };
             while busy(it) < load.slots && !it.waiting.is_empty() {
                 let seq = it.waiting.remove(0);
-                if rng.random_bool(load.sheds) {
+                if rng.random_bool(load.shed_share) {
                     events.push(std::cmp::Reverse((now + MS, Event::Shed(seq))));
                     continue;
                 }
@@ -163,11 +163,11 @@
             for seq in it.waiting.split_off(load.queue.min(it.waiting.len())) {
                 events.push(std::cmp::Reverse((now + MS, Event::Shed(seq))));
             }
-            seen.most_at_work = seen.most_at_work.max(it.working);
+            results.most_at_work = results.most_at_work.max(it.working);
         }
-        seen.most_queued = seen.most_queued.max(dispatcher.queued());
+        results.most_queued = results.most_queued.max(dispatcher.queued());
     }
-    seen
+    results
 }
 
 fn id(seq: u64) -> PermitId {
@@ -175,12 +175,12 @@
 }
 
 #[test]
-fn nobody_waits_at_half_of_the_load_while_answers_travel() {
-    for travels in [20, 72, 150, 430] {
-        let seen = play(Load { travels: travels * MS, ..HALF }, 30);
-        assert_eq!(seen.most_queued, 0, "{travels} ms: {seen:?}");
-        assert_eq!(seen.shed, 0, "{travels} ms: {seen:?}");
-        assert!(seen.most_at_work <= HALF.slots, "{travels} ms: {seen:?}");
+fn no_request_waits_at_half_of_the_load_while_answers_are_in_transit() {
+    for transit in [20, 72, 150, 430] {
+        let results = play(Load { transit: transit * MS, ..HALF }, 30);
+        assert_eq!(results.most_queued, 0, "{transit} ms: {results:?}");
+        assert_eq!(results.shed, 0, "{transit} ms: {results:?}");
+        assert!(results.most_at_work <= HALF.slots, "{transit} ms: {results:?}");
     }
 }
 
@@ -188,22 +188,25 @@
 /// The dispatcher detects this and then sends no more than the service can take.
 #[test]
 fn endpoints_that_hold_a_worker_until_the_last_byte_are_not_flooded() {
-    for (queue, travels) in [(0, 72), (0, 150), (0, 430), (12, 430)] {
-        let load = Load { worker: Worker::FreeAtEnd, queue, travels: travels * MS, ..HALF };
+    for (queue, transit) in [(0, 72), (0, 150), (0, 430), (12, 430)] {
+        let load = Load { worker: Worker::FreeAtEnd, queue, transit: transit * MS, ..HALF };
         // The capacity of such endpoints.
-        let rate = 50.0 * 1e6 / (load.work + load.travels) as f64;
-        let seen = play(Load { rate, ..load }, 60);
+        let rate = 50.0 * 1e6 / (load.work + load.transit) as f64;
+        let results = play(Load { rate, ..load }, 60);
         // The first experiment, and those repeated after 10, 20 and 40 s.
-        assert!(seen.shed <= 5 * 16, "{travels} ms: {seen:?}");
-        assert!(f64::from(seen.served) > 0.95 * f64::from(seen.asked - seen.shed), "{seen:?}");
+        assert!(results.shed <= 5 * 16, "{transit} ms: {results:?}");
+        assert!(
+            f64::from(results.served) > 0.95 * f64::from(results.asked - results.shed),
+            "{results:?}"
+        );
     }
 }
 
 /// If a service sheds a share of all requests, the shed requests are no evidence about slots.
 #[test]
-fn endpoints_that_shed_whatever_they_have_keep_the_slots_of_travelling_answers_free() {
-    let seen = play(Load { sheds: 0.4, ..HALF }, 30);
-    assert_eq!(seen.most_queued, 0, "{seen:?}");
+fn endpoints_that_shed_regardless_of_load_keep_the_slots_of_answers_in_transit_free() {
+    let results = play(Load { shed_share: 0.4, ..HALF }, 30);
+    assert_eq!(results.most_queued, 0, "{results:?}");
 }
 
 /// Asks for a slot of a service with one endpoint of 3 slots.
@@ -212,7 +215,7 @@
 }
 
 #[test]
-fn an_answer_that_has_begun_is_told_once_and_ends_once() {
+fn an_answer_that_has_begun_is_reported_once_and_ends_once() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut dispatcher = Dispatcher::new(Time(0), &service(&[1], 1, Bias::Speed), &[TERMS], BUDGET);
     let took = Duration::from_millis(20);
@@ -223,7 +226,7 @@
     assert!(granted(&mut dispatcher, &mut rng, Time(3), 4));
     assert!(!granted(&mut dispatcher, &mut rng, Time(3), 5), "one was free");
     dispatcher.release(Time(4), id(0), Kind::Answered, took, &mut rng);
-    assert!(!granted(&mut dispatcher, &mut rng, Time(5), 6), "it has come back before");
+    assert!(!granted(&mut dispatcher, &mut rng, Time(5), 6), "its slot came free before");
     // The report of its beginning arrives after its end.
     dispatcher.answer_began(Time(6), id(0), took, &mut rng);
     assert!(!granted(&mut dispatcher, &mut rng, Time(7), 7));
@@ -250,7 +253,7 @@
 }
 
 #[test]
-fn an_answer_that_stops_moving_speaks_against_its_endpoint() {
+fn an_answer_that_stalls_is_evidence_against_its_endpoint() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut dispatcher = Dispatcher::new(Time(0), &service(&[2], 1, Bias::Speed), &[TERMS], BUDGET);
     assert!(granted(&mut dispatcher, &mut rng, Time(0), 0));
