--- a/crates/policy/src/tests/overload.rs
+++ b/crates/policy/src/tests/overload.rs
@@ -29,7 +29,7 @@
 
 /// Results for callers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct Results {
     asked: u32,
     in_time: u32,
     late: u32,
@@ -40,7 +40,7 @@
     held: u32,
 }
 
-fn play(load: Load, seed: u64) -> Seen {
+fn play(load: Load, seed: u64) -> Results {
     let mut rng = StdRng::seed_from_u64(seed);
     let service = service(&[6, 5, 5], 8, Bias::Balanced);
     let mut it = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -48,7 +48,7 @@
     for endpoint in &service.endpoints {
         it.noticed(Time(0), NodeId(1), &endpoint.id, 0, Notice::RateLimit(limit));
     }
-    let mut seen = Seen::default();
+    let mut results = Results::default();
     let mut asked: BTreeMap<PermitId, Time> = BTreeMap::new();
     let mut ends: BTreeMap<(Time, u64), (PermitId, Kind, Duration)> = BTreeMap::new();
     let mut next_ask = Time(0);
@@ -64,7 +64,7 @@
             let ask = Ask { left: TIME_LIMIT, repeatable: false, ..ask(seq, true) };
             let id = ask.id;
             asked.insert(id, now);
-            seen.asked += 1;
+            results.asked += 1;
             replies.push((id, it.ask(now, ask, &mut rng)));
         }
         while let Some(entry) = ends.first_entry().filter(|it| it.key().0 <= now) {
@@ -82,22 +82,22 @@
             let work = load.work.mul_f64(rng.random_range(0.5..1.5));
             match reply {
                 Reply::Granted(_) if work > left => {
-                    seen.broken_off += 1;
+                    results.broken_off += 1;
                     ends.insert((now + left, id.seq), (id, Kind::TimedOut, left));
                 }
                 Reply::Granted(_) => {
                     let is_in_time = waited + work <= SECOND;
-                    seen.in_time += u32::from(is_in_time);
-                    seen.late += u32::from(!is_in_time);
+                    results.in_time += u32::from(is_in_time);
+                    results.late += u32::from(!is_in_time);
                     ends.insert((now + work, id.seq), (id, Kind::Answered, work));
                 }
                 Reply::Queued => {}
-                _ if waited > SECOND / 10 => seen.held += 1,
-                _ => seen.refused_at_once += 1,
+                _ if waited > SECOND / 10 => results.held += 1,
+                _ => results.refused_at_once += 1,
             }
         }
     }
-    seen
+    results
 }
 
 const SUSTAINED: Load =
@@ -105,10 +105,11 @@
 
 /// Means over a few seeds, in percent of the requests.
 fn shares(load: Load) -> [f64; 4] {
-    let all: Vec<Seen> = (1..=4).map(|seed| play(load, seed)).collect();
+    let all: Vec<Results> = (1..=4).map(|seed| play(load, seed)).collect();
     let asked: u32 = all.iter().map(|it| it.asked).sum();
-    let share =
-        |f: fn(&Seen) -> u32| 100.0 * f64::from(all.iter().map(f).sum::<u32>()) / f64::from(asked);
+    let share = |f: fn(&Results) -> u32| {
+        100.0 * f64::from(all.iter().map(f).sum::<u32>()) / f64::from(asked)
+    };
     [
         share(|it| it.in_time),
         share(|it| it.late),
@@ -140,9 +141,12 @@
 
 #[test]
 fn a_short_burst_waits_rather_than_being_refused() {
-    let calm = Load { rate: 150.0, ..SUSTAINED };
-    check(calm, expect!["in time 100, late 0, refused 0, held 0"]);
-    check(Load { burst: Some(500), ..calm }, expect!["in time 100, late 0, refused 0, held 0"]);
-    check(Load { burst: Some(1_000), ..calm }, expect!["in time 89, late 8, refused 3, held 0"]);
-    check(Load { burst: Some(2_000), ..calm }, expect!["in time 78, late 12, refused 10, held 0"]);
+    let steady = Load { rate: 150.0, ..SUSTAINED };
+    check(steady, expect!["in time 100, late 0, refused 0, held 0"]);
+    check(Load { burst: Some(500), ..steady }, expect!["in time 100, late 0, refused 0, held 0"]);
+    check(Load { burst: Some(1_000), ..steady }, expect!["in time 89, late 8, refused 3, held 0"]);
+    check(
+        Load { burst: Some(2_000), ..steady },
+        expect!["in time 78, late 12, refused 10, held 0"],
+    );
 }
