--- a/crates/policy/src/tests/notices.rs
+++ b/crates/policy/src/tests/notices.rs
@@ -9,7 +9,7 @@
 use super::fixture::{BUDGET, SECOND, TERMS, ask, reporter, seen, service};
 use crate::{Ask, Dispatcher, Kind, NodeId, Notice, RateLimit, Reply, SendKind, State, Time};
 
-const REST: Duration = Duration::from_secs(3);
+const BACK_OFF: Duration = Duration::from_secs(3);
 
 fn dispatcher(service: &Service) -> (Dispatcher, StdRng) {
     (Dispatcher::new(Time(0), service, &[TERMS], BUDGET), StdRng::seed_from_u64(1))
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_endpoint_that_says_it_leaves_gets_no_new_work() {
+fn an_endpoint_that_advertises_that_it_leaves_gets_no_new_work() {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
     assert!(it.noticed(Time(0), NodeId(1), "i-1000", 0, Notice::Leaving));
@@ -34,18 +34,18 @@
 }
 
 #[test]
-fn a_node_that_is_asked_for_rest_sends_nothing_until_it_is_over() {
+fn a_node_that_is_asked_to_back_off_sends_nothing_until_that_is_over() {
     let (mut it, mut rng) = dispatcher(&service(&[1], 1, Bias::Balanced));
-    it.noticed(Time(0), NodeId(1), "i-1000", 0, Notice::Rest(REST));
+    it.noticed(Time(0), NodeId(1), "i-1000", 0, Notice::Rest(BACK_OFF));
     for ms in [0, 500, 1_500, 2_900] {
         let now = Time(0) + Duration::from_millis(ms);
         assert_eq!(it.ask(now, ask_of(1, ms), &mut rng), Reply::Full, "{ms}");
     }
-    assert!(matches!(it.ask(Time(0) + REST, ask_of(1, 9), &mut rng), Reply::Granted(_)));
+    assert!(matches!(it.ask(Time(0) + BACK_OFF, ask_of(1, 9), &mut rng), Reply::Granted(_)));
 }
 
 #[test]
-fn what_an_endpoint_said_holds_when_its_entry_lapses_and_comes_back() {
+fn what_an_endpoint_advertised_holds_when_its_entry_lapses_and_comes_back() {
     let there = service(&[2], 1, Bias::Balanced);
     let mut lapsed = there.clone();
     lapsed.endpoints.remove(0);
@@ -60,7 +60,7 @@
     let (it, _) = after_a_lapse(Notice::Leaving);
     assert!(it.is_closed(back_at, NodeId(1), "i-1000", 0));
     assert_eq!(it.endpoints()[0].state, State::Leaving);
-    let (it, _) = after_a_lapse(Notice::Rest(REST));
+    let (it, _) = after_a_lapse(Notice::Rest(BACK_OFF));
     assert!(it.is_closed(back_at, NodeId(1), "i-1000", 0));
     let limit = RateLimit::from_per_second(2.0);
     let (it, _) = after_a_lapse(Notice::RateLimit(limit));
@@ -68,8 +68,8 @@
 }
 
 /// Health of an endpoint: name, number of failures, and milliseconds since then.
-const STANDINGS: [(&str, u64, u64); 4] =
-    [("well", 0, 0), ("last choice", 1, 10), ("on trial", 6, 2_100), ("left alone", 6, 5_000)];
+const HEALTH: [(&str, u64, u64); 4] =
+    [("healthy", 0, 0), ("last choice", 1, 10), ("on trial", 6, 2_100), ("idle", 6, 5_000)];
 
 /// Whether a send goes to the only endpoint, which has this health and may have sent a notice.
 fn reaches((_, failures, ms): (&str, u64, u64), notice: Option<Notice>, ask: &Ask) -> bool {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn no_kind_of_send_goes_to_an_endpoint_that_wants_none() {
+fn no_kind_of_send_goes_to_an_endpoint_that_takes_none() {
     let limit = Notice::RateLimit(RateLimit::from_per_second(0.0));
     let plain = ask_of(1, 0);
     let sends = [
@@ -94,17 +94,17 @@
         ("first, asked again", Ask { send: SendKind::FirstAgain, ..plain.clone() }),
         ("repeat", Ask { send: SendKind::Further, wait: true, ..plain.clone() }),
         ("hedge", Ask { send: SendKind::Further, ..plain.clone() }),
-        ("rest of a download", Ask { send: SendKind::Further, bulky: true, ..plain.clone() }),
+        ("remainder of a download", Ask { send: SendKind::Further, bulky: true, ..plain.clone() }),
         ("last send", Ask { is_last: true, wait: true, ..plain.clone() }),
         ("must not repeat", Ask { repeatable: false, wait: true, ..plain }),
     ];
-    for standing in STANDINGS {
-        let free = sends.iter().filter(|(_, ask)| reaches(standing, None, ask)).count();
-        assert!(free > 0, "{}: nothing goes there in any case", standing.0);
-        for notice in [Notice::Leaving, Notice::Rest(REST), limit] {
+    for health in HEALTH {
+        let free = sends.iter().filter(|(_, ask)| reaches(health, None, ask)).count();
+        assert!(free > 0, "{}: no send goes there even without a notice", health.0);
+        for notice in [Notice::Leaving, Notice::Rest(BACK_OFF), limit] {
             for (name, ask) in &sends {
-                let is_sent = reaches(standing, Some(notice), ask);
-                assert!(!is_sent, "{}, {notice:?}: {name}", standing.0);
+                let is_sent = reaches(health, Some(notice), ask);
+                assert!(!is_sent, "{}, {notice:?}: {name}", health.0);
             }
         }
     }
