--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -103,7 +103,8 @@
     assert_eq!(dispatcher.evidence_of(Time(2), 0).in_use, 0);
 }
 
-/// Times at which the `unhealthy` unhealthy ones among `n` endpoints are tried while all others answer.
+/// Times at which the first `unhealthy` of `n` endpoints get requests, which always fail there while
+/// all other endpoints answer.
 fn trials(n: usize, unhealthy: usize) -> Vec<Vec<Time>> {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[n], 1, Bias::Speed);
@@ -375,7 +376,7 @@
     };
     see(&mut dispatcher, 1, Kind::Abandoned, long / 20);
     see(&mut dispatcher, 2, Kind::Beaten, long);
-    assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 0, "one lost hedge is usual");
+    assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 0, "one lost request is usual");
     (3..5).for_each(|node| see(&mut dispatcher, node, Kind::Beaten, long));
     assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 1);
 }
