--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -1,21 +1,21 @@
-//! Hands out the slots of a service's endpoints: one permit is one request on one endpoint.
+//! Grants slots on the endpoints of a service: one permit allows one request on one endpoint.
 //!
-//! The same machine serves two ways of dispatch. A node that dispatches for itself alone counts its
-//! own requests. A node that dispatches a service for the fleet counts the requests of every node
-//! that asks it. A permit is advice about capacity; no guarantee to callers rests on it, so lost,
-//! late and doubled permits do no harm.
+//! The same type serves both modes of dispatch. A node that dispatches only for itself counts its
+//! own requests; a node that dispatches a service for the fleet counts the requests of every node
+//! that asks for slots. Permits only guide capacity use. No guarantee to callers depends on them,
+//! so lost, late and duplicate permits are harmless.
 
+mod advertised;
 mod choice;
 mod congestion;
 mod counts;
+mod crash_suspects;
 mod evidence;
+mod idle;
 mod load;
 mod notices;
 mod overlap;
-mod paced;
-mod rest;
-mod said;
-mod suspicion;
+mod rate_limits;
 mod waiting;
 mod working_set;
 
@@ -39,79 +39,83 @@
 use crate::suspects::{RequestKey, Suspects};
 use crate::time::Time;
 use crate::topology::Topology;
+use advertised::LapsedEndpoints;
 use congestion::Congestion;
-use load::Load;
-use overlap::{Overlap, Sent};
-use said::Remembered;
+use load::EndpointLoad;
+use overlap::{Overlap, Placement};
 use working_set::{Rate, WorkingSet};
 
 pub use counts::{DispatchCounts, IdleEndpoint, Occupancy};
 pub use evidence::EvidenceReport;
 
-/// A permit that is neither released nor renewed for this long is taken back.
+/// A permit that is neither released nor renewed for this long expires.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(3);
-/// The same for one whose answer has begun. It holds no slot, and how it ends is worth knowing: that word may come late.
-const ANSWERED_LIFETIME: Duration = Duration::from_secs(6);
-/// For how long a permit that came back is remembered: longer than a copy of its ask travels. Whoever has withdrawn a wish
-/// here passes this node over for longer.
-const REMEMBER_ENDED: Duration = Duration::from_millis(800);
-/// An endpoint that shed a request is taken for full for this long, about the time in which one of a few
-/// slots comes free.
-const FULL_FOR: Duration = Duration::from_millis(100);
-/// A dispatcher that has handed out nothing for this long has been replaced by another one.
-const IN_CHARGE_FOR: Duration = Duration::from_secs(1);
-/// Weight of a new sample in the mean time that a slot is held.
+/// Lifetime of a permit whose answer has begun. Such a permit holds no slot, and the outcome of its
+/// request is still useful evidence that may arrive late, so it lives longer.
+const ANSWERED_PERMIT_LIFETIME: Duration = Duration::from_secs(6);
+/// How long the id of an ended permit is kept, to recognise late copies of its ask. Longer than
+/// such a copy is in transit, and shorter than the time for which an asker avoids a node after
+/// withdrawing an ask there.
+const ENDED_PERMIT_RETENTION: Duration = Duration::from_millis(800);
+/// An endpoint that shed a request is treated as full for this long, about the time until one of a
+/// few slots comes free.
+const FULL_AFTER_SHED: Duration = Duration::from_millis(100);
+/// A dispatcher that has granted nothing for this long is assumed to have been replaced by another
+/// node's dispatcher.
+const DISPATCHING_WINDOW: Duration = Duration::from_secs(1);
+/// Weight of a new sample in the moving average of the slot hold time.
 const HOLD_GAIN: f64 = 0.05;
-/// Mean hold time before any sample.
-const FIRST_HOLD: Duration = Duration::from_millis(100);
+/// Mean slot hold time assumed before the first sample.
+const INITIAL_MEAN_HOLD: Duration = Duration::from_millis(100);
 
-/// Shortest time after which a refused caller is asked to come back.
+/// Shortest `retry_after` given to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Which part a dispatcher has in handing out the slots of its service.
+/// Whether other dispatchers may grant the same slots at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Precedence {
-    /// Its node is the first choice of all that ask.
+    /// The node of this dispatcher ranks first for all nodes that ask for slots.
     First,
-    /// It is asked by those that do not reach the first choice, or picks for its own node alone. Others may do the same
-    /// unseen.
+    /// The dispatcher serves nodes that cannot reach the first choice, or only its own node. Other
+    /// dispatchers may grant the same slots without its knowledge.
     OneOfMany,
 }
 
-/// A slot in use.
+/// A granted permit whose request has not ended.
 #[derive(Clone, Debug)]
 struct Permit {
     endpoint: usize,
     route: u32,
     request: RequestKey,
     reporter: Reporter,
-    /// Time within which an answer is worth most to the caller.
+    /// Latency objective: an answer within this time is worth most to the caller.
     objective: Duration,
     grant: Grant,
     granted: Time,
     expires: Time,
-    /// If it fails, the caller gets the failure.
+    /// No further send follows this one: if it fails, the caller gets the failure.
     is_last_send: bool,
-    /// Another send of the request was before it.
+    /// The request was sent to an endpoint before.
     is_further: bool,
-    told: Told,
-    /// Whether answers that travel make its endpoint look full.
-    sent: Sent,
+    reported: Reported,
+    /// Whether the endpoint had room for this send only because answers in transit hold no slot.
+    placement: Placement,
 }
 
-/// What was told of a request while it was open.
+/// What has been reported of a request while it was open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Reported {
+    /// Nothing so far.
     Nothing,
-    /// A stall: for a verdict, what follows is the same evidence again.
+    /// A stall. Outlier detection has counted the silence; the outcome must not count again.
     Stalled,
-    /// Its answer has begun: a whole one is the same evidence again.
+    /// The answer has begun and was counted; its completion must not count again.
     AnswerBegan,
-    /// Its answer has begun and then stopped moving.
+    /// The answer has begun and then stalled.
     AnswerStalled,
 }
 
-impl Told {
+impl Reported {
     fn has_answer(self) -> bool {
         matches!(self, Self::AnswerBegan | Self::AnswerStalled)
     }
@@ -129,90 +133,100 @@
     }
 }
 
-/// Slots and verdicts of one service on one node.
+/// Slots, health estimates and verdicts of one service on one node.
 #[derive(Debug)]
 pub struct Dispatcher {
-    judge: Judge,
-    signs: Signs,
-    /// When the signs were last refreshed.
-    refreshed: Time,
-    /// In the order of the rotation.
-    loads: Vec<Load>,
-    remembered: Remembered,
+    detector: Judge,
+    likelihoods: Signs,
+    /// Time of the last refresh of `likelihoods`.
+    likelihoods_refreshed: Time,
+    /// Same order as the endpoints of the rotation.
+    loads: Vec<EndpointLoad>,
+    /// Advertisements of endpoints whose registry entry is gone.
+    lapsed: LapsedEndpoints,
     permits: FxHashMap<PermitId, Permit>,
-    /// Permits that came back or were withdrawn lately. An ask for one is a late copy: granted, its slot would be held
-    /// until the permit expires.
+    /// Permits that ended or were withdrawn recently. An ask for one of them is a late copy; if it
+    /// were granted, its slot would stay in use until the permit expires.
     ended: FxHashMap<PermitId, Time>,
     queue: Queue<Ask>,
-    /// When those that wait were last looked at.
-    drained: Time,
+    /// Time of the last attempt to serve the queue.
+    last_drain: Time,
+    /// Moving average of the time for which a slot is held.
     mean_hold: Duration,
     congestion: Congestion,
     budget: Budget,
-    /// Repeats refused when that was last told.
-    refused_before: u64,
-    served: Served,
+    /// Total of refused repeats at the last call of `newly_refused`.
+    refusals_reported: u64,
+    /// Outcomes of the service's requests, from which `pressure` is derived.
+    unserved: Served,
+    /// Requests during which endpoints have crashed.
     suspects: Suspects,
-    /// A request that waits may have come to be rejected.
-    has_rejected: bool,
+    /// Whether queued requests may have been rejected since the queue was last checked.
+    has_new_rejections: bool,
     overlap: Overlap,
     counts: DispatchCounts,
-    granted_at: Option<Time>,
-    /// Whether so much fails that endpoints are tried again sooner; as of the last choice.
-    strain: Strain,
-    /// Time without work after which an endpoint is due, and when that was worked out.
-    due_after: (Duration, Time),
+    /// Time of the last grant.
+    last_grant: Option<Time>,
+    /// Whether so many requests fail that endpoints are tried again sooner, as of the last choice.
+    pressure: Strain,
+    /// Idle time after which an endpoint is due for a probe request, and when this value was
+    /// computed.
+    probe_after: (Duration, Time),
     working_set: WorkingSet,
-    /// Sends to all endpoints.
+    /// Rate of sends to all endpoints together.
     rate: Rate,
-    /// Requests of a route that go to other services for each one that comes here; routes that lead to this service
-    /// alone are left out.
-    elsewhere: FxHashMap<u32, f64>,
-    /// The share of the endpoints that the floor wants in use.
+    /// By route: the number of its requests that go to other services for each one that comes to
+    /// this service. Routes that lead only here have no entry.
+    elsewhere_ratios: FxHashMap<u32, f64>,
+    /// Share of the endpoints that the floor requires to be in use.
     floor_share: f64,
     topology: Topology,
-    /// Hash of the region of this node, if that is known.
+    /// Hash of this node's region, if known.
     region: Option<u64>,
-    /// What a cold endpoint bears, if its service says so.
+    /// Request rate that a cold endpoint can take, if the service configures one.
     cold_rate: Option<RateLimit>,
-    /// Time for which an endpoint is cold after its start.
+    /// How long an endpoint stays cold after its start.
     warm_up: Duration,
     precedence: Precedence,
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet, this one included.
     nodes: usize,
-    /// So little of the budget is left that a send that fails may not be followed by another; as of
-    /// the last choice.
+    /// Whether the repeat budget is so low that a failed send may have no successor, as of the last
+    /// choice.
     is_budget_short: bool,
 }
 
 impl Dispatcher {
-    /// A dispatcher for `service`. `routes` lead to it.
+    /// Creates a dispatcher for `service`. `routes` are the routes that lead to it.
     pub fn new(now: Time, service: &Service, routes: &[RouteTerms], budget: BudgetLimits) -> Self {
         let mut it = Self {
-            judge: Judge::new(now, service, routes),
-            signs: Signs::default(),
-            refreshed: now,
-            loads: service.endpoints.iter().map(|it| Load::new(now, &it.failure_domain)).collect(),
-            remembered: Remembered::default(),
+            detector: Judge::new(now, service, routes),
+            likelihoods: Signs::default(),
+            likelihoods_refreshed: now,
+            loads: service
+                .endpoints
+                .iter()
+                .map(|it| EndpointLoad::new(now, &it.failure_domain))
+                .collect(),
+            lapsed: LapsedEndpoints::default(),
             permits: FxHashMap::default(),
             ended: FxHashMap::default(),
             queue: Queue::new(),
-            drained: Time::default(),
-            mean_hold: FIRST_HOLD,
+            last_drain: Time::default(),
+            mean_hold: INITIAL_MEAN_HOLD,
             congestion: Congestion::default(),
             budget: Budget::new(now, budget),
-            refused_before: 0,
-            served: Served::default(),
+            refusals_reported: 0,
+            unserved: Served::default(),
             suspects: Suspects::default(),
-            has_rejected: false,
+            has_new_rejections: false,
             overlap: Overlap::default(),
             counts: DispatchCounts::default(),
-            granted_at: None,
-            strain: Strain::None,
-            due_after: (ALONE_AFTER, now),
+            last_grant: None,
+            pressure: Strain::None,
+            probe_after: (ALONE_AFTER, now),
             working_set: WorkingSet::default(),
             rate: Rate::default(),
-            elsewhere: elsewhere(routes),
+            elsewhere_ratios: elsewhere_ratios(routes),
             floor_share: floor_share(service),
             topology: Topology::default(),
             region: None,
@@ -222,74 +236,77 @@
             nodes: 1,
             is_budget_short: false,
         };
-        it.chill(now);
+        it.update_cold_limits(now);
         it.working_set.rebuild(now, &it.loads);
         it
     }
 
-    /// Tells which failure domain is in which region, and in which one this node is.
+    /// Sets the regions of the failure domains and this node's own failure domain.
     pub fn set_topology(&mut self, topology: Topology, own_failure_domain: u64) {
         self.topology = topology;
         self.region = self.topology.region_of(own_failure_domain);
-        self.locate();
+        self.update_regions();
     }
 
-    /// Whether an endpoint is in another region than this node, where other nodes hand out its slots first.
-    fn is_elsewhere(&self, load: &Load) -> bool {
+    /// Whether an endpoint is in another region than this node. Nodes of that region come first in
+    /// granting its slots.
+    fn is_in_other_region(&self, load: &EndpointLoad) -> bool {
         matches!((load.region, self.region), (Some(its), Some(own)) if its != own)
     }
 
-    fn locate(&mut self) {
+    fn update_regions(&mut self) {
         for it in &mut self.loads {
             it.region = self.topology.region_of(it.failure_domain);
         }
     }
 
-    /// Which part it has in handing out slots.
+    /// Whether other dispatchers may grant the same slots.
     pub fn precedence(&self) -> Precedence {
         self.precedence
     }
 
-    /// Follows a change of who hands out the slots of the service.
+    /// Applies a change of the nodes that grant the slots of the service.
     pub fn set_precedence(&mut self, precedence: Precedence) {
         self.precedence = precedence;
     }
 
-    /// Follows a new configuration or a change of the endpoints. Permits on endpoints that stay are
-    /// kept; those on one that has started again went with its life before.
+    /// Applies a new configuration or a change of the endpoints. Permits on endpoints that stay are
+    /// kept; permits on a restarted endpoint ended with its previous incarnation.
     pub fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
         let before = Lives::of(self.endpoints());
-        self.judge.reconfigure(now, service, routes);
+        self.detector.reconfigure(now, service, routes);
         self.floor_share = floor_share(service);
         self.cold_rate = cold_rate(service);
         self.warm_up = warm_up(service);
-        self.elsewhere = elsewhere(routes);
+        self.elsewhere_ratios = elsewhere_ratios(routes);
         let old = std::mem::take(&mut self.loads);
-        let is_in_use = self.granted_at.is_some();
+        let is_in_use = self.last_grant.is_some();
         let load_of = |it: &EndpointStatus| {
             let known = before.position(it).map(|i| old[i].clone());
             known.unwrap_or_else(|| match before.knows(&it.id) {
-                true => Load::again(now, &it.failure_domain),
-                false if is_in_use => Load::new(now, &it.failure_domain).joining(&it.id),
-                false => Load::new(now, &it.failure_domain),
+                true => EndpointLoad::restarted(now, &it.failure_domain),
+                false if is_in_use => {
+                    EndpointLoad::new(now, &it.failure_domain).recently_joined(&it.id)
+                }
+                false => EndpointLoad::new(now, &it.failure_domain),
             })
         };
         self.loads = self.endpoints().iter().map(load_of).collect();
-        self.locate();
-        self.recall(now);
-        self.chill(now);
-        // Where each endpoint stands now, by where it stood before.
-        let mut moved = vec![None; old.len()];
-        for (i, it) in self.judge.rotation.endpoints().iter().enumerate() {
-            if let Some(was) = before.position(it) {
-                moved[was] = Some(i);
+        self.update_regions();
+        self.restore_advertised(now);
+        self.update_cold_limits(now);
+        // The new position of each endpoint by its old one.
+        let mut new_positions = vec![None; old.len()];
+        for (i, it) in self.detector.rotation.endpoints().iter().enumerate() {
+            if let Some(old_position) = before.position(it) {
+                new_positions[old_position] = Some(i);
             }
         }
-        for (id, started_ms, i) in before.iter().filter(|(.., i)| moved[*i].is_none()) {
-            self.remembered.keep(now, id, started_ms, &old[i].said);
+        for (id, started_ms, i) in before.iter().filter(|(.., i)| new_positions[*i].is_none()) {
+            self.lapsed.keep(now, id, started_ms, &old[i].advertised);
         }
         self.permits.retain(|_, it| {
-            let to = moved[it.endpoint];
+            let to = new_positions[it.endpoint];
             it.endpoint = to.unwrap_or_default();
             to.is_some()
         });
@@ -311,7 +328,7 @@
             self.counts.rejected += 1;
             return Reply::Rejected { retry_after };
         }
-        self.hear_limits(now, &ask);
+        self.take_over_limits(now, &ask);
         if ask.brings_part {
             self.budget.hold_part(now, ask.reporter.node);
         }
@@ -319,26 +336,26 @@
             SendKind::First => {
                 self.counts.first += 1;
                 self.budget.first_send(now);
-                if let Some(others) = self.elsewhere.get(&ask.route) {
-                    self.served.note_elsewhere(now, *others);
+                if let Some(others) = self.elsewhere_ratios.get(&ask.route) {
+                    self.unserved.note_elsewhere(now, *others);
                 }
             }
             SendKind::FirstAgain => {}
             SendKind::Further if self.budget.allows(now, Spend::of(&ask)) => {}
-            // A hedge that is refused leaves its request where it was.
+            // If a hedge is refused, the send that it accompanies goes on.
             SendKind::Further if !ask.wait => return Reply::Full,
             SendKind::Further => {
                 self.counts.repeats_refused += 1;
-                self.served.note(now, Ending::Unserved);
+                self.unserved.note(now, Ending::Unserved);
                 return Reply::Refused { retry_after: self.mean_hold.max(MIN_RETRY_AFTER) };
             }
         }
-        self.look_around(now);
-        if let Some(choice) = self.choose_from_few(now, &ask, rng) {
+        self.refresh_inputs(now);
+        if let Some(choice) = self.choose_from_candidates(now, &ask, rng) {
             return Reply::Granted(self.grant(now, &ask, choice));
         }
         let survey = self.survey(now);
-        self.counts.looks += survey.len() as u64;
+        self.counts.endpoints_evaluated += survey.len() as u64;
         let choice = self.choose(&survey, &ask, || rng.random());
         if let Some(choice) = choice {
             if self.queue.len() == 0 {
@@ -349,7 +366,7 @@
         if !ask.wait {
             return Reply::Full;
         }
-        if let Some(retry_after) = self.closed_for(now, &ask) {
+        if let Some(retry_after) = self.retry_after_if_closed(now, &ask) {
             self.counts.queue_refused += 1;
             self.note_unserved(now, 1);
             return Reply::Refused { retry_after };
@@ -358,22 +375,22 @@
         self.enqueue(now, ask, slots)
     }
 
-    /// A good endpoint among the few that are looked at first, if the service has a working set.
-    fn choose_from_few(
+    /// Chooses a good endpoint among a few candidates, if the service uses a working set.
+    fn choose_from_candidates(
         &mut self,
         now: Time,
         ask: &Ask,
         rng: &mut impl Rng,
     ) -> Option<(usize, Tier)> {
-        let few = self.candidates(now, ask)?;
-        let survey = self.survey_of(now, few.into_iter().map(|it| it as usize));
-        self.counts.looks += survey.len() as u64;
+        let positions = self.first_candidates(now, ask)?;
+        let survey = self.survey_of(now, positions.into_iter().map(|it| it as usize));
+        self.counts.endpoints_evaluated += survey.len() as u64;
         let choice = self.choose(&survey, ask, || rng.random());
         choice.filter(|(_, tier)| *tier < Tier::Last)
     }
 
-    /// Takes a slot back and learns from how the request ended. Returns replies for those that
-    /// waited for it.
+    /// Takes a slot back and learns from the outcome of its request. Returns replies for queued
+    /// requests that got a slot.
     pub fn release(
         &mut self,
         now: Time,
@@ -386,12 +403,12 @@
         self.counts.released += 1;
         self.ended.insert(id, now);
         let load = &mut self.loads[permit.endpoint];
-        let held_slot = load.give_back(id);
+        let held_slot = load.end_request(id);
         if kind == Kind::Shed {
-            load.full_until = load.full_until.max(now + FULL_FOR);
-            self.note_shed(now, permit.sent);
+            load.full_until = load.full_until.max(now + FULL_AFTER_SHED);
+            self.note_shed(now, permit.placement);
         }
-        if kind == Kind::Answered && !permit.told.has_answer() {
+        if kind == Kind::Answered && !permit.reported.has_answer() {
             self.note_answer(now, &permit, elapsed);
         }
         if kind == Kind::Answered && held_slot {
@@ -401,113 +418,114 @@
         self.drain(now, rng)
     }
 
-    /// Gives a slot back without learning anything from it, as when the caller has left.
+    /// Withdraws a queued ask, or takes a slot back without learning anything from its request, for
+    /// example when the caller has left.
     pub fn cancel(&mut self, now: Time, id: PermitId, rng: &mut impl Rng) -> Vec<Settled> {
         let withdrawn = self.queue.extract(|it| it.item.id == id);
         self.counts.withdrawn += withdrawn.len() as u32;
         self.note_unserved(now, withdrawn.len());
-        self.leave_queue(withdrawn.iter().map(|it| &it.item));
+        self.release_reserved_repeats(withdrawn.iter().map(|it| &it.item));
         self.ended.insert(id, now);
         let Some(permit) = self.permits.remove(&id) else { return Vec::new() };
         self.counts.released += 1;
-        self.loads[permit.endpoint].give_back(id);
+        self.loads[permit.endpoint].end_request(id);
         self.drain(now, rng)
     }
 
-    /// Keeps a permit of a long request alive.
+    /// Extends the permit of a long request.
     pub fn renew(&mut self, now: Time, id: PermitId) {
         if let Some(permit) = self.permits.get_mut(&id) {
             permit.expires = permit.expires.max(now + PERMIT_LIFETIME);
         }
     }
 
-    /// Follows a change of the budget for repeats.
+    /// Applies a change of the repeat budget.
     pub fn set_budget(&mut self, now: Time, limits: BudgetLimits) {
         self.budget.set_limits(now, limits);
     }
 
-    /// Follows a change of the number of nodes in the fleet, this one included.
+    /// Applies a change of the number of nodes in the fleet, this one included.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes;
         self.budget.set_nodes(nodes);
     }
 
-    /// Moves what time alone moves and returns replies for those that waited. Costs next to nothing
-    /// while nothing happens: a node holds a dispatcher for every service.
+    /// Advances everything that depends on time alone and returns replies for queued requests.
+    /// Nearly free for an idle service, because a node has a dispatcher for every service.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
         let is_idle = self.permits.is_empty() && self.ended.is_empty() && self.queue.len() == 0;
-        if is_idle && self.judge.is_idle() {
+        if is_idle && self.detector.is_idle() {
             return Vec::new();
         }
-        self.judge.tick(now);
-        self.refresh_signs(now);
+        self.detector.tick(now);
+        self.refresh_likelihoods(now);
         self.suspects.tick(now);
-        self.ended.retain(|_, at| now.since(*at) < REMEMBER_ENDED);
+        self.ended.retain(|_, at| now.since(*at) < ENDED_PERMIT_RETENTION);
         let (loads, counts) = (&mut self.loads, &mut self.counts);
         self.permits.retain(|id, it| {
             let keep = now < it.expires;
             if !keep {
-                counts.expired += u32::from(loads[it.endpoint].give_back(*id));
+                counts.expired += u32::from(loads[it.endpoint].end_request(*id));
             }
             keep
         });
         let late = self.queue.extract(|it| it.deadline <= now);
-        self.counts.waited_in_vain += late.len() as u32;
+        self.counts.expired_waiting += late.len() as u32;
         self.note_unserved(now, late.len());
-        self.leave_queue(late.iter().map(|it| &it.item));
+        self.release_reserved_repeats(late.iter().map(|it| &it.item));
         let mut settled: Vec<_> = late.into_iter().map(|it| self.refusal(it.item.id)).collect();
         settled.extend(self.drain(now, rng));
         settled
     }
 
-    /// Forgets evidence and what is past its deadline after a pause of this process.
+    /// After a pause of this process: forgets evidence, and ends what has expired in the meantime.
     pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
-        self.judge.forget();
+        self.detector.forget();
         self.tick(now, rng)
     }
 
-    /// The endpoints as this node sees them.
+    /// The endpoints and their states, as this node knows them.
     pub fn endpoints(&self) -> &[EndpointStatus] {
-        self.judge.rotation.endpoints()
+        self.detector.rotation.endpoints()
     }
 
-    /// The rotation, for the report.
+    /// The rotation, for reports.
     pub fn rotation(&self) -> &Rotation {
-        &self.judge.rotation
+        &self.detector.rotation
     }
 
-    /// Path, shared and reporter faults recognised so far.
+    /// Numbers of path, shared and reporter faults recognised so far.
     pub fn faults_excused(&self) -> [u64; 3] {
-        [self.judge.path_faults, self.judge.shared_faults, self.judge.reporter_faults]
+        [self.detector.path_faults, self.detector.shared_faults, self.detector.reporter_faults]
     }
 
-    /// Whether it hands out slots. One that does not hears of failures only, and must not spread
-    /// what it makes of them.
-    pub fn is_in_charge(&self, now: Time) -> bool {
-        self.granted_at.is_some_and(|it| now.since(it) < IN_CHARGE_FOR)
+    /// Whether this dispatcher currently grants slots. One that does not receives only reports of
+    /// failures, so its conclusions must not be passed on to other nodes.
+    pub fn is_dispatching(&self, now: Time) -> bool {
+        self.last_grant.is_some_and(|it| now.since(it) < DISPATCHING_WINDOW)
     }
 
-    /// Figures of the budget for repeats.
+    /// State of the repeat budget.
     pub fn repeats(&mut self, now: Time) -> RepeatsReport {
         self.budget.report(now)
     }
 
-    /// Figures of the budget for repeats if some were refused since the last call; `refused` counts these
-    /// alone.
+    /// State of the repeat budget if repeats were refused since the last call; `refused` counts
+    /// only these.
     pub fn newly_refused(&mut self, now: Time) -> Option<RepeatsReport> {
         let all = self.budget.refused();
-        let refused = all - std::mem::replace(&mut self.refused_before, all);
+        let refused = all - std::mem::replace(&mut self.refusals_reported, all);
         (refused > 0).then(|| RepeatsReport { refused, ..self.budget.report(now) })
     }
 
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
     /// State changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
-        self.judge.rotation.take_changes()
+        self.detector.rotation.take_changes()
     }
 
     fn grant(&mut self, now: Time, ask: &Ask, (endpoint, tier): (usize, Tier)) -> Grant {
@@ -516,13 +534,13 @@
             endpoint: it.id.clone(),
             started_ms: it.started_ms,
             addr: it.addr,
-            stall_after: self.judge.baseline.stall_after(ask.route),
-            hedge_after: self.judge.baseline.hedge_after(ask.route),
-            doubt: self.doubt(now, endpoint),
+            stall_after: self.detector.baseline.stall_after(ask.route),
+            hedge_after: self.detector.baseline.hedge_after(ask.route),
+            doubt: self.health_estimate(now, endpoint),
             trial: tier == Tier::Trial || matches!(it.state, State::Trial { .. }),
             tier,
             is_watched: self.suspects.is_watched(ask.request),
-            is_rate_limited: self.loads[endpoint].said.pace.limit().is_some(),
+            is_rate_limited: self.loads[endpoint].advertised.pacer.limit().is_some(),
         };
         let permit = Permit {
             endpoint,
@@ -535,8 +553,8 @@
             expires: now + PERMIT_LIFETIME,
             is_last_send: ask.is_last,
             is_further: ask.send == SendKind::Further,
-            told: Told::Nothing,
-            sent: self.sent_to(now, endpoint),
+            reported: Reported::Nothing,
+            placement: self.placement(now, endpoint),
         };
         if ask.send == SendKind::Further {
             self.counts.repeats += 1;
@@ -544,11 +562,11 @@
         }
         self.counts.to_limited += u32::from(grant.is_rate_limited);
         let sharers = self.sharers(&self.loads[endpoint]);
-        self.loads[endpoint].said.pace.sent(now, sharers);
-        self.working_set.note(now, endpoint, &self.loads[endpoint]);
+        self.loads[endpoint].advertised.pacer.sent(now, sharers);
+        self.working_set.note_request(now, endpoint, &self.loads[endpoint]);
         self.rate.add(now);
-        self.loads[endpoint].take(now, ask);
-        self.granted_at = Some(now);
+        self.loads[endpoint].begin_request(now, ask);
+        self.last_grant = Some(now);
         self.permits.insert(ask.id, permit);
         grant
     }
@@ -574,14 +592,15 @@
     Duration::from_millis(service.warm_up_ms.into())
 }
 
-/// Requests that go to other services for each one that comes here, by route.
-fn elsewhere(routes: &[RouteTerms]) -> FxHashMap<u32, f64> {
+/// For each route that is split: the number of its requests that go to other services for each one
+/// that comes here.
+fn elsewhere_ratios(routes: &[RouteTerms]) -> FxHashMap<u32, f64> {
     let split = routes.iter().filter(|it| it.share > 0.0 && it.share < 1.0);
     split.map(|it| (it.id, 1.0 / it.share - 1.0)).collect()
 }
 
 impl Spend {
-    /// A hedge does not wait; what has failed does.
+    /// Only a hedge is asked for without waiting; any other further send follows a failure.
     fn of(ask: &Ask) -> Self {
         if ask.wait { Self::OnFailure } else { Self::OnHedge }
     }
--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -1,11 +1,12 @@
-//! Which endpoint a request gets: tiers by what is believed of it, then slots in use and distance.
+//! Chooses the endpoint for a request: first by tier, which follows from its health estimate, then
+//! by slots in use and distance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::load::Load;
-use super::rest::{Rested, due_after};
+use super::idle::{IdleCandidate, probe_after};
+use super::load::EndpointLoad;
 use super::working_set::Spread;
 use crate::belief::{Belief, IDLE_AFTER, MISSED_AFTER, SILENCE_FAILS, Strain, TRY_AGAIN, Use};
 use crate::permit::{Ask, Doubt, SendKind, Tier};
@@ -14,152 +15,164 @@
 use crate::topology::Distance;
 use resources::Priority;
 
-/// An endpoint is due so much sooner for requests of its own failure domain. They come soon where there are callers, and
-/// what passes between failure domains has a price.
-const NEAR_FIRST: Duration = Duration::from_millis(100);
-/// Part of the objective that a send waits for a good endpoint if another one may follow: so little that a
-/// second send still fits.
-const FIRST_SEND_PATIENCE: f64 = 0.15;
-/// The same for the last send of a request. With all of the time left all requests would wait under load, and all of
-/// them would be late.
-const LAST_SEND_PATIENCE: f64 = 0.5;
-
-/// Interval at which it is worked out who is due, while the service has slots to spare. In it a few endpoints
-/// at most come to be left alone for too long.
-const DUE_REFRESH: Duration = Duration::from_millis(50);
-/// An endpoint that is not known for longer may still be in trouble: the users count one as sound after eight
-/// seconds without any.
+/// An endpoint becomes due for a probe this much sooner for requests from its own failure domain.
+/// Where there are callers such requests come soon, and traffic between failure domains is costly.
+const NEAR_PROBE_LEAD: Duration = Duration::from_millis(100);
+/// Share of the objective for which a send waits for a good endpoint if another send may follow.
+/// Small enough that a second send still fits in the objective.
+const FIRST_SEND_MAX_WAIT: f64 = 0.15;
+/// Share of the objective for which the last send of a request waits. If sends waited for all of
+/// the remaining time, all requests would wait under load and all would be late.
+const LAST_SEND_MAX_WAIT: f64 = 0.5;
+
+/// How often `probe_after` is recomputed while the service has spare slots. Within this interval at
+/// most a few endpoints exceed the allowed idle time.
+const PROBE_REFRESH: Duration = Duration::from_millis(50);
+/// Minimum age of an endpoint that counts as settled. The availability target counts an endpoint as
+/// healthy after eight seconds without trouble, so a younger one may still be in trouble.
 const SETTLED_AFTER: Duration = Duration::from_secs(8);
-/// The users count an endpoint as sound two seconds after its last failure, and look at two more.
-pub(super) const SOUND_AFTER: Duration = Duration::from_secs(4);
-
-/// Steps by which endpoints count as equally likely to be sick.
-const DOUBT_STEPS: f64 = 50.0;
-
-/// What an endpoint of another failure domain counts for, in slots in use, when short answers are
-/// placed. Traffic between failure domains has a price; a busy slot costs more.
-const FAR_SLOTS: u32 = 2;
-
-/// What the way to an endpoint with so many slots counts for, in slots in use. From another region each answer takes tens
-/// of milliseconds longer, so that its endpoints are used when all others are full.
-fn way(distance: Distance, slots: u32) -> u32 {
+/// Time since the last failure after which an endpoint is reported as healthy. The availability
+/// target counts an endpoint as healthy two seconds after its last failure, and evaluates windows
+/// of two more seconds.
+pub(super) const HEALTHY_AFTER: Duration = Duration::from_secs(4);
+
+/// Number of steps to which the probability of being unhealthy is rounded down: endpoints in the same
+/// step rank equal.
+const HEALTH_RANK_STEPS: f64 = 50.0;
+
+/// Cost of an endpoint in another failure domain of the same region, in slots in use, for short
+/// answers. Traffic between failure domains is costly, but less so than a busy slot.
+const FAR_COST: u32 = 2;
+
+/// Cost of the distance to an endpoint with `slots` slots, in slots in use. Answers from another
+/// region take tens of milliseconds longer, so its endpoints are used only when all others are
+/// full.
+fn distance_cost(distance: Distance, slots: u32) -> u32 {
     match distance {
         Distance::Near => 0,
-        Distance::SameRegion => FAR_SLOTS,
+        Distance::SameRegion => FAR_COST,
         Distance::OtherRegion => slots * 2,
     }
 }
 
-/// One endpoint at the moment of a choice.
+/// Snapshot of one endpoint for a choice.
 #[derive(Clone, Copy)]
-struct Look {
-    /// Its position.
+struct Candidate {
+    /// Position in the rotation.
     i: usize,
     now: Time,
-    strain: Strain,
+    pressure: Strain,
     spread: Spread,
     addr: SocketAddr,
     state: State,
-    /// When it came to stand there.
-    since: Time,
+    /// When the endpoint entered `state`.
+    state_since: Time,
     is_missing: bool,
     is_evacuated: bool,
-    /// Slots that its state allows.
+    /// Slots that the state allows.
     slots: u32,
     belief: Belief,
-    /// How much more likely the silence of what is open on it is if it is sick.
-    silence: f64,
-    sick: f64,
-    /// Whether it had no work for so long that the next request is to show if it is well, by how far that comes from.
-    due: [Due; Distance::ALL.len()],
-    /// For how long it had no work.
-    alone: Duration,
-    /// Slots that its rate limit keeps busy, if it names one.
-    paced_slots: Option<f64>,
-    /// Its rate limit allows a send now.
+    /// Likelihood ratio of the silence of its open requests, unhealthy against healthy.
+    silence_ratio: f64,
+    /// Probability that the endpoint is unhealthy, given its outcomes and the silence of its open
+    /// requests.
+    p_unhealthy: f64,
+    /// Whether the endpoint has been idle for so long that the next request should probe it, by the
+    /// distance from which that request comes.
+    probe_due: [ProbeDue; Distance::ALL.len()],
+    /// Time since its last request, or since it became known if it had none.
+    idle: Duration,
+    /// Slots that sends at its rate limit keep busy, if it has a limit.
+    rate_limited_slots: Option<f64>,
+    /// Whether its rate limit allows a send now.
     may_send: bool,
 }
 
-/// Whether an endpoint is due for the next request.
+/// Whether an idle endpoint is due for a probe. The probe is a real request of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Due {
-    /// For none.
-    Not,
-    /// For one that may be sent again. Rest spares those that may not; the others lose a repeat at most, and a rest
-    /// that is bounded by a part of all endpoints may be that of most of the few that the users count.
+enum ProbeDue {
+    /// Not due.
+    No,
+    /// Due for repeatable requests only. Non-repeatable requests avoid idle endpoints, which may
+    /// still fail; repeatable ones lose a repeat at most. They probe early because the number of
+    /// idle endpoints is bounded by a share of all endpoints, which may be most of the few that the
+    /// availability target counts.
     ForRepeatable,
-    /// For any.
+    /// Due for any request.
     ForAny,
 }
 
-/// All endpoints and the queue at one moment, for all choices that are made then. How likely an endpoint is sick
-/// takes most of the time of a choice, and while requests wait there may be a choice for each of them: worked out
-/// anew each time, a node on a tenth of a core would fall behind for seconds.
+/// Snapshot of endpoints and of the queue, shared by all choices made at one moment. Most of the
+/// cost of a choice is the health estimate, and there may be a choice for each queued request: with
+/// estimates computed for every choice, a node with a tenth of a core falls behind by seconds.
 pub(super) struct Survey {
     now: Time,
-    looks: Vec<Look>,
-    /// Requests that wait, by priority.
+    candidates: Vec<Candidate>,
+    /// Number of queued requests, by priority.
     waiting: Vec<(Priority, usize)>,
 }
 
 impl Survey {
-    /// The moment of the look.
+    /// Time of the snapshot.
     pub(super) fn now(&self) -> Time {
         self.now
     }
 
-    /// Endpoints that were looked at.
+    /// Number of endpoints in the snapshot.
     pub(super) fn len(&self) -> usize {
-        self.looks.len()
+        self.candidates.len()
     }
 
     /// Slots that may be used now, free or not.
     pub(super) fn capacity(&self) -> f64 {
-        self.looks.iter().map(|it| it.paced(it.usable_slots())).sum()
+        self.candidates.iter().map(|it| it.within_rate_limit(it.usable_slots())).sum()
     }
 
-    /// Requests that wait and would be served before one of this priority.
+    /// Number of queued requests that would be served before one of this priority.
     fn ahead_of(&self, priority: Priority) -> usize {
         self.waiting.iter().filter(|(it, _)| *it <= priority).map(|(_, n)| n).sum()
     }
 }
 
-impl Look {
-    /// Whether it is due for such a request.
+impl Candidate {
+    /// Whether the endpoint is due for a probe by this request.
     fn is_due(&self, ask: &Ask, distance: Distance) -> bool {
-        match self.due[distance as usize] {
-            Due::Not => false,
-            Due::ForRepeatable => ask.repeatable,
-            Due::ForAny => true,
+        match self.probe_due[distance as usize] {
+            ProbeDue::No => false,
+            ProbeDue::ForRepeatable => ask.repeatable,
+            ProbeDue::ForAny => true,
         }
     }
 
-    /// Whether it is due, and the users may count it as idle. They count the endpoints of all failure domains alike, so that
-    /// it goes first wherever it is.
-    fn is_missed(&self, ask: &Ask, distance: Distance) -> bool {
-        self.alone > MISSED_AFTER && self.is_due(ask, distance)
+    /// Whether the endpoint is due and has been idle so long that it counts against the floor. The
+    /// floor counts endpoints of all failure domains alike, so distance does not matter for a
+    /// starved endpoint.
+    fn is_starved(&self, ask: &Ask, distance: Distance) -> bool {
+        self.idle > MISSED_AFTER && self.is_due(ask, distance)
     }
 
     fn usage(&self) -> Use {
-        if self.silence > SILENCE_FAILS {
+        if self.silence_ratio > SILENCE_FAILS {
             return Use::Last;
         }
-        self.belief.usage_if(self.sick, self.now, self.strain)
+        self.belief.usage_if(self.p_unhealthy, self.now, self.pressure)
     }
 
-    /// Whether an endpoint that is out of rotation is tried all the same, one request at a time,
-    /// because a part of the requests is not served.
-    fn is_needed(&self) -> bool {
+    /// Whether an ejected endpoint is tried nevertheless, with one request at a time, because a
+    /// part of the requests is not served.
+    fn is_tried_while_ejected(&self) -> bool {
         let is_out = matches!(self.state, State::Ejected { .. })
             && !self.is_evacuated
-            && self.now.since(self.since) > TRY_AGAIN;
-        // Sick endpoints fail at once: without a pause they would be tried again and again.
-        is_out && self.strain == Strain::Unserved && self.belief.failed_before(self.now, TRY_AGAIN)
+            && self.now.since(self.state_since) > TRY_AGAIN;
+        // Unhealthy endpoints fail at once; without a pause they would be tried again and again.
+        is_out
+            && self.pressure == Strain::Unserved
+            && self.belief.failed_before(self.now, TRY_AGAIN)
     }
 
-    /// Slots that may be used now: one while nothing proves that the endpoint is well again.
+    /// Slots that may be used now: one until there is evidence that the endpoint is healthy again.
     fn usable_slots(&self) -> u32 {
-        if self.is_needed() {
+        if self.is_tried_while_ejected() {
             return 1;
         }
         match self.usage() {
@@ -168,17 +181,18 @@
         }
     }
 
-    /// What so many slots are worth under its rate limit.
-    fn paced(&self, slots: u32) -> f64 {
+    /// Limits a number of slots to those that the rate limit keeps busy.
+    fn within_rate_limit(&self, slots: u32) -> f64 {
         let slots = f64::from(slots);
-        self.paced_slots.map_or(slots, |it| it.min(slots))
+        self.rate_limited_slots.map_or(slots, |it| it.min(slots))
     }
 
-    /// Whether a request may go there beside those that are open on it, whatever their age says: the users miss it, and what
-    /// holds its slots may never be answered though it is well. Work that may be sent again loses little by it.
-    fn takes_beside(&self, ask: &Ask, distance: Distance) -> bool {
-        self.is_missed(ask, distance)
-            && self.strain == Strain::Unserved
+    /// Whether a request may use all slots of the endpoint, however long the requests on it have
+    /// been open. The endpoint is starved, and the requests that hold its slots may never be
+    /// answered although it is healthy. Repeatable work loses little by trying.
+    fn may_use_all_slots(&self, ask: &Ask, distance: Distance) -> bool {
+        self.is_starved(ask, distance)
+            && self.pressure == Strain::Unserved
             && ask.repeatable
             && self.state.in_rotation()
     }
@@ -186,67 +200,72 @@
     /// Slots for a request, free or not.
     fn slots_for(&self, ask: &Ask, tier: Tier, distance: Distance) -> u32 {
         let usable = if tier == Tier::Trial { 1 } else { self.usable_slots() };
-        match self.takes_beside(ask, distance) {
+        match self.may_use_all_slots(ask, distance) {
             true => self.slots,
             false => usable,
         }
     }
 
-    /// Whether it is used last, and its last failure is so long ago that it may be well by now. One of a working set is
-    /// replaced instead.
+    /// Whether the endpoint is used only as a last resort or cautiously, and its last failure is so
+    /// old that it may have recovered. In a working set, a failed member is replaced instead.
     fn is_due_for_trial(&self) -> bool {
         if self.spread == Spread::WorkingSet {
             return false;
         }
-        let usage = self.belief.usage_if(self.sick, self.now, Strain::None);
+        let usage = self.belief.usage_if(self.p_unhealthy, self.now, Strain::None);
         matches!(usage, Use::Last | Use::Cautiously)
             && self.belief.failed_before(self.now, TRY_AGAIN)
-            && self.silence <= SILENCE_FAILS
+            && self.silence_ratio <= SILENCE_FAILS
     }
 
-    /// Rank by sickness among endpoints of one tier, before slots and distance. Last choices and further
-    /// sends go by how likely it is sick: those that fail do so fast, and by free slots alone would be
-    /// chosen first. For all others it only matters whether there is doubt, because finer ranks send more
-    /// work to other failure domains than they save. One that is due comes first.
-    fn doubt(&self, tier: Tier, ask: &Ask, distance: Distance) -> u32 {
+    /// Health rank among endpoints of one tier, compared before slots and distance; lower is
+    /// better. Last-resort choices and further sends are ranked by the probability that the
+    /// endpoint is unhealthy: unhealthy endpoints fail fast, so ranked by free slots alone they
+    /// would be chosen first. All other sends only distinguish endpoints used freely, or due for a
+    /// probe, from the rest, because a finer rank causes more traffic to other failure domains than
+    /// it saves.
+    fn health_rank(&self, tier: Tier, ask: &Ask, distance: Distance) -> u32 {
         match tier {
-            Tier::Near | Tier::Last => (self.sick * DOUBT_STEPS) as u32,
-            // The last chance of its request.
-            _ if ask.send == SendKind::Further => (self.sick * DOUBT_STEPS) as u32,
+            Tier::Near | Tier::Last => (self.p_unhealthy * HEALTH_RANK_STEPS) as u32,
+            // A further send is the last chance of its request.
+            _ if ask.send == SendKind::Further => (self.p_unhealthy * HEALTH_RANK_STEPS) as u32,
             _ if self.is_due(ask, distance) || self.usage() == Use::Freely => 0,
-            // Those of the reserve go before one that has failed.
-            _ if self.spread == Spread::WorkingSet => 1 + (self.sick * DOUBT_STEPS) as u32,
+            // Endpoints of the reserve rank before a member that has failed.
+            _ if self.spread == Spread::WorkingSet => {
+                1 + (self.p_unhealthy * HEALTH_RANK_STEPS) as u32
+            }
             _ => 1,
         }
     }
 }
 
 impl Dispatcher {
-    /// Looks at all endpoints and at the queue.
+    /// Takes a snapshot of all endpoints and of the queue.
     pub(super) fn survey(&self, now: Time) -> Survey {
         self.survey_of(now, 0..self.loads.len())
     }
 
-    /// Looks at these endpoints and at the queue.
+    /// Takes a snapshot of the given endpoints and of the queue.
     pub(super) fn survey_of(&self, now: Time, endpoints: impl Iterator<Item = usize>) -> Survey {
-        let looks = endpoints.map(|i| self.look(now, i)).collect();
-        Survey { now, looks, waiting: self.queue.count_by_priority() }
+        let candidates = endpoints.map(|i| self.candidate(now, i)).collect();
+        Survey { now, candidates, waiting: self.queue.count_by_priority() }
     }
 
-    /// Looks again at one endpoint and at the queue, in which a request less waits.
-    pub(super) fn look_again(&self, survey: &mut Survey, i: usize) {
+    /// Updates the snapshot of one endpoint and of the queue after a queued request was granted a
+    /// slot.
+    pub(super) fn refresh_candidate(&self, survey: &mut Survey, i: usize) {
         survey.waiting = self.queue.count_by_priority();
         let now = survey.now;
-        if let Some(it) = survey.looks.iter_mut().find(|it| it.i == i) {
-            *it = self.look(now, i);
+        if let Some(it) = survey.candidates.iter_mut().find(|it| it.i == i) {
+            *it = self.candidate(now, i);
         }
     }
 
-    /// The free endpoint of the best tier with the least cost, then the one that has been without work for longest; in a
-    /// working set the one that was used last.
+    /// Chooses the free endpoint of the best tier with the least cost. Ties go to the endpoint that
+    /// has been idle longest or, in a working set, to the one used last.
     ///
-    /// A worse one is taken only by those that wait, and only if waiting for a
-    /// good one would be in vain or take longer than the asker's patience.
+    /// Tiers from [`Tier::Near`] on are used only for requests that may wait, and only if no good
+    /// endpoint can come free or the expected wait exceeds the longest acceptable one.
     pub(super) fn choose(
         &self,
         survey: &Survey,
@@ -255,195 +274,206 @@
     ) -> Option<(usize, Tier)> {
         let now = survey.now;
         let is_watched = self.suspects.is_watched(ask.request);
-        if is_watched && self.is_open(ask.request) {
+        if is_watched && self.has_open_send(ask.request) {
             return None;
         }
         let region = self.topology.region_of(ask.reporter.failure_domain);
         let mut best = None;
         let mut good_slots = 0.0;
-        for look in &survey.looks {
-            let load = &self.loads[look.i];
+        for candidate in &survey.candidates {
+            let load = &self.loads[candidate.i];
             let distance = load.distance(ask.reporter.failure_domain, region);
             if is_watched && self.runs_watched(load) {
                 continue;
             }
-            let is_closed = load.said.is_closed_to(now, ask.reporter.node);
-            if is_closed || ask.bars(load.failure_domain) || ask.closed.contains(&look.addr) {
+            let is_closed = load.advertised.is_closed_to(now, ask.reporter.node);
+            if is_closed || ask.bars(load.failure_domain) || ask.closed.contains(&candidate.addr) {
                 continue;
             }
-            let Some(tier) = self.tier(look, ask, distance) else { continue };
-            let usable = look.slots_for(ask, tier, distance);
+            let Some(tier) = self.tier(candidate, ask, distance) else { continue };
+            let usable = candidate.slots_for(ask, tier, distance);
             if tier < Tier::Near {
-                good_slots += look.paced(usable);
+                good_slots += candidate.within_rate_limit(usable);
             }
-            if !look.may_send {
+            if !candidate.may_send {
                 continue;
             }
             let tier = match load.in_use() {
                 it if it < usable => tier,
-                // The other slots of a doubtful endpoint are better than one that is known to fail.
-                it if it < look.slots && tier < Tier::Last => Tier::Last,
+                // Further slots of a doubtful endpoint are better than an endpoint known to fail.
+                it if it < candidate.slots && tier < Tier::Last => Tier::Last,
                 _ => continue,
             };
-            let way = if look.is_missed(ask, distance) {
+            let distance_cost = if candidate.is_starved(ask, distance) {
                 0
             } else {
-                way(distance, self.endpoints()[look.i].slots)
+                distance_cost(distance, self.endpoints()[candidate.i].slots)
             };
-            let cost = load.in_use() + way;
-            // Among equals the one that has been without work for longest. Drawn by chance, a quarter of the endpoints
-            // have nothing for two seconds where 1.2 sends come for each, are then taken for a little doubtful, and
-            // go behind the others.
+            let cost = load.in_use() + distance_cost;
+            // Ties go to the endpoint that has been idle longest. With a random choice and 1.2
+            // sends per endpoint in two seconds, a quarter of the endpoints get nothing for two
+            // seconds, then rank as slightly doubtful and fall behind the others.
             let idle = load.idle(now).unwrap_or(Duration::MAX);
-            let by_idle = match look.spread {
+            let by_idle = match candidate.spread {
                 Spread::Even => Duration::MAX - idle,
                 Spread::WorkingSet => idle,
             };
-            // One whose answers travel has its link to share.
-            let key =
-                (tier, look.doubt(tier, ask, distance), cost, load.travelling(), by_idle, tie());
+            // An endpoint with answers in transit shares its link among them.
+            let key = (
+                tier,
+                candidate.health_rank(tier, ask, distance),
+                cost,
+                load.in_transit(),
+                by_idle,
+                tie(),
+            );
             if best.is_none_or(|(other, _)| key < other) {
-                best = Some((key, look.i));
+                best = Some((key, candidate.i));
             }
         }
         let ((tier, ..), i) = best?;
-        let is_impatient =
-            || self.expected_wait(survey.ahead_of(ask.priority), good_slots) > self.patience(ask);
-        let take_worse = ask.wait && (good_slots == 0.0 || is_impatient());
+        let exceeds_max_wait =
+            || self.expected_wait(survey.ahead_of(ask.priority), good_slots) > self.max_wait(ask);
+        let take_worse = ask.wait && (good_slots == 0.0 || exceeds_max_wait());
         (tier < Tier::Near || take_worse).then_some((i, tier))
     }
 
-    /// How long a good endpoint is waited for. A send that can be followed by another one loses little
-    /// on an endpoint that fails; the last one loses all.
-    pub(super) fn patience(&self, ask: &Ask) -> Duration {
-        let part = if self.is_last_send(ask) { LAST_SEND_PATIENCE } else { FIRST_SEND_PATIENCE };
+    /// Longest time to wait for a good endpoint. A send that another one can follow loses little on
+    /// an endpoint that fails; for the last send the request fails.
+    pub(super) fn max_wait(&self, ask: &Ask) -> Duration {
+        let part = if self.is_last_send(ask) { LAST_SEND_MAX_WAIT } else { FIRST_SEND_MAX_WAIT };
         ask.objective.mul_f64(part)
     }
 
-    /// Whether no other send will follow, by the route's rules or because the budget is nearly spent.
+    /// Whether no other send will follow, by the rules of the route or because the repeat budget is
+    /// nearly spent.
     fn is_last_send(&self, ask: &Ask) -> bool {
         ask.is_last || self.is_budget_short
     }
 
-    /// Looks at what bears on all choices at this moment.
-    pub(super) fn look_around(&mut self, now: Time) {
+    /// Refreshes the inputs that all choices at this moment share.
+    pub(super) fn refresh_inputs(&mut self, now: Time) {
         self.is_budget_short = self.budget.is_short(now);
-        self.strain = self.served.strain(now);
-        self.look_how_to_spread(now);
-        self.look_who_is_due(now);
+        self.pressure = self.unserved.strain(now);
+        self.update_spread(now);
+        self.refresh_probe_after(now);
     }
 
-    /// Works out for how long endpoints are left alone: anew a few times a second while nothing presses.
-    fn look_who_is_due(&mut self, now: Time) {
-        if self.strain != Strain::None || self.queue.len() > 0 {
-            self.due_after = (self.strain.idle_for(), now);
-        } else if now.since(self.due_after.1) >= DUE_REFRESH {
+    /// Computes the idle time after which endpoints are due for a probe: several times a second in
+    /// steady state, and on every call under pressure or while requests are queued.
+    fn refresh_probe_after(&mut self, now: Time) {
+        if self.pressure != Strain::None || self.queue.len() > 0 {
+            self.probe_after = (self.pressure.idle_for(), now);
+        } else if now.since(self.probe_after.1) >= PROBE_REFRESH {
             let endpoints = self.endpoints().iter().zip(&self.loads);
-            let there = endpoints.filter(|(it, _)| it.is_expected());
-            let rested = there.map(|(status, load)| Rested {
+            let expected = endpoints.filter(|(it, _)| it.is_expected());
+            let idle_candidates = expected.map(|(status, load)| IdleCandidate {
                 idle: load.idle(now),
-                may_be_sound: load.belief.failed_before(now, IDLE_AFTER),
+                may_be_healthy: load.belief.failed_before(now, IDLE_AFTER),
                 is_settled: load.age(now) > SETTLED_AFTER,
-                is_open: status.state.in_rotation(),
+                is_in_rotation: status.state.in_rotation(),
             });
-            self.due_after = (due_after(rested, self.floor_share), now);
+            self.probe_after = (probe_after(idle_candidates, self.floor_share), now);
         }
     }
 
-    /// What is believed of an endpoint now.
-    pub(super) fn doubt(&self, now: Time, i: usize) -> Doubt {
-        let look = self.look(now, i);
+    /// Health estimate of an endpoint, for a grant.
+    pub(super) fn health_estimate(&self, now: Time, i: usize) -> Doubt {
+        let candidate = self.candidate(now, i);
         Doubt {
-            sick_permille: (look.sick * 1e3) as u16,
-            evidence_ms: look.belief.evidence_age(now).as_millis() as u32,
+            sick_permille: (candidate.p_unhealthy * 1e3) as u16,
+            evidence_ms: candidate.belief.evidence_age(now).as_millis() as u32,
         }
     }
 
-    fn look(&self, now: Time, i: usize) -> Look {
+    fn candidate(&self, now: Time, i: usize) -> Candidate {
         let (load, status) = (&self.loads[i], &self.endpoints()[i]);
-        let silence = load.silence(now, &self.judge.baseline, &self.signs);
-        Look {
+        let silence_ratio = load.silence_ratio(now, &self.detector.baseline, &self.likelihoods);
+        Candidate {
             i,
             now,
-            strain: self.strain,
+            pressure: self.pressure,
             spread: self.working_set.spread,
             addr: status.addr,
             state: status.state,
-            since: status.since,
+            state_since: status.since,
             is_missing: status.is_missing,
             is_evacuated: status.is_evacuated,
             slots: status.usable_slots(now),
             belief: load.belief,
-            silence,
-            due: Distance::ALL.map(|it| self.due(now, load, it)),
-            alone: load.alone(now),
-            paced_slots: load.said.pace.slots(now, self.mean_hold),
-            may_send: load.said.pace.allows(now, self.sharers(load)),
-            sick: load.belief.sick_given(now, silence, self.signs.share()),
+            silence_ratio,
+            probe_due: Distance::ALL.map(|it| self.probe_due(now, load, it)),
+            idle: load.idle_or_age(now),
+            rate_limited_slots: load.advertised.pacer.slots(now, self.mean_hold),
+            may_send: load.advertised.pacer.allows(now, self.sharers(load)),
+            p_unhealthy: load.belief.sick_given(now, silence_ratio, self.likelihoods.share()),
         }
     }
 
-    /// Whether the next request is to show if it is well: it is left alone for too long, and nobody leaves it out for a young
-    /// failure. One that comes from near goes first.
-    fn due(&self, now: Time, load: &Load, distance: Distance) -> Due {
-        // Another node hands them out, and sees who has had no work.
-        if self.is_elsewhere(load) {
-            return Due::Not;
+    /// Whether the next request should probe an idle endpoint. An endpoint whose last failure is
+    /// recent is not probed. Requests from its own failure domain probe it first.
+    fn probe_due(&self, now: Time, load: &EndpointLoad, distance: Distance) -> ProbeDue {
+        // A node in that region grants these slots and sees which endpoints are idle.
+        if self.is_in_other_region(load) {
+            return ProbeDue::No;
         }
         if self.working_set.spread == Spread::WorkingSet {
-            return if load.is_due_as_newcomer(now) { Due::ForAny } else { Due::Not };
+            return if load.is_due_for_introduction(now) { ProbeDue::ForAny } else { ProbeDue::No };
         }
-        let Some(idle) = load.idle(now) else { return Due::ForAny };
-        let may_be_well = load.belief.failed_before(now, self.strain.alone_for());
-        match if distance == Distance::Near { idle + NEAR_FIRST } else { idle } {
-            _ if !may_be_well => Due::Not,
-            it if it > self.due_after.0 => Due::ForAny,
-            it if it > self.strain.idle_for() => Due::ForRepeatable,
-            _ => Due::Not,
+        let Some(idle) = load.idle(now) else { return ProbeDue::ForAny };
+        let may_have_recovered = load.belief.failed_before(now, self.pressure.alone_for());
+        match if distance == Distance::Near { idle + NEAR_PROBE_LEAD } else { idle } {
+            _ if !may_have_recovered => ProbeDue::No,
+            it if it > self.probe_after.0 => ProbeDue::ForAny,
+            it if it > self.pressure.idle_for() => ProbeDue::ForRepeatable,
+            _ => ProbeDue::No,
         }
     }
 
-    fn tier(&self, look: &Look, ask: &Ask, distance: Distance) -> Option<Tier> {
+    /// Tier of an endpoint for a request; `None` if the endpoint must not get the request.
+    fn tier(&self, candidate: &Candidate, ask: &Ask, distance: Distance) -> Option<Tier> {
         let is_near = distance == Distance::Near;
-        let (now, load) = (look.now, &self.loads[look.i]);
-        if !self.endpoints()[look.i].admits(now, ask.repeatable) {
-            return look.is_needed().then_some(if look.is_due(ask, distance) {
-                Tier::Good
-            } else {
-                Tier::Cautious
-            });
+        let (now, load) = (candidate.now, &self.loads[candidate.i]);
+        if !self.endpoints()[candidate.i].admits(now, ask.repeatable) {
+            return candidate.is_tried_while_ejected().then_some(
+                if candidate.is_due(ask, distance) { Tier::Good } else { Tier::Cautious },
+            );
         }
-        // A trial is there to find out whether the failures have ended.
-        let is_on_trial = matches!(look.state, State::Trial { .. });
-        let usage = if is_on_trial { Use::Freely } else { look.usage() };
-        let is_suspect = look.state == State::Suspect && now.since(look.since) < TRY_AGAIN;
-        let is_out_of_use = look.is_missing
+        // A trial exists to find out whether the failures have ended, so it ignores the estimate.
+        let is_on_trial = matches!(candidate.state, State::Trial { .. });
+        let usage = if is_on_trial { Use::Freely } else { candidate.usage() };
+        let is_suspect =
+            candidate.state == State::Suspect && now.since(candidate.state_since) < TRY_AGAIN;
+        let is_out_of_use = candidate.is_missing
             || now < load.hinted_until
             || now < load.full_until
-            || self.judge.avoids(now, look.i, ask.reporter);
-        let last = is_suspect || usage == Use::Last || is_out_of_use;
-        // Work that can be sent again loses little by finding out if an endpoint is well again, and a
-        // recovered one is missed capacity until someone tries it.
-        let may_try = !is_out_of_use && !self.is_last_send(ask) && (is_near || !ask.bulky);
+            || self.detector.avoids(now, candidate.i, ask.reporter);
+        let is_last_resort = is_suspect || usage == Use::Last || is_out_of_use;
+        // Repeatable work loses little by testing whether an endpoint has recovered, and a
+        // recovered endpoint is unused capacity until a request tries it.
+        let may_start_trial = !is_out_of_use && !self.is_last_send(ask) && (is_near || !ask.bulky);
         match usage {
-            _ if ask.avoid.contains(&look.addr) => Some(Tier::Avoided),
-            _ if is_on_trial && last => None,
-            _ if may_try && look.is_due_for_trial() => Some(Tier::Trial),
+            _ if ask.avoid.contains(&candidate.addr) => Some(Tier::Avoided),
+            _ if is_on_trial && is_last_resort => None,
+            _ if may_start_trial && candidate.is_due_for_trial() => Some(Tier::Trial),
             _ if is_on_trial && ask.repeatable && !ask.bulky => Some(Tier::Trial),
-            _ if look.takes_beside(ask, distance) && !is_out_of_use => Some(Tier::Good),
-            _ if last && ask.bulky && is_near && !self.is_last_send(ask) => Some(Tier::Near),
-            _ if last => Some(Tier::Last),
-            _ if look.is_missed(ask, distance) => Some(Tier::Good),
+            _ if candidate.may_use_all_slots(ask, distance) && !is_out_of_use => Some(Tier::Good),
+            _ if is_last_resort && ask.bulky && is_near && !self.is_last_send(ask) => {
+                Some(Tier::Near)
+            }
+            _ if is_last_resort => Some(Tier::Last),
+            _ if candidate.is_starved(ask, distance) => Some(Tier::Good),
             _ if ask.bulky && !is_near => Some(Tier::Far),
             Use::Cautiously if !ask.repeatable => Some(Tier::Cautious),
             _ => Some(Tier::Good),
         }
     }
 
+    /// Whether some endpoint in the snapshot may take a request, leaving its health aside.
     pub(super) fn has_free_slot(&self, survey: &Survey) -> bool {
-        survey.looks.iter().any(|look| {
-            let slots = look.slots.max(look.usable_slots());
-            look.may_send && self.loads[look.i].in_use() < slots
+        survey.candidates.iter().any(|candidate| {
+            let slots = candidate.slots.max(candidate.usable_slots());
+            candidate.may_send && self.loads[candidate.i].in_use() < slots
         })
     }
 }
--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -1,115 +1,117 @@
-//! How the requests of a service fare at one dispatcher, for logs: what was asked for, how it ended, and which
-//! endpoints had nothing.
+//! Statistics of one dispatcher for logs: slots asked for, outcomes of requests, and idle
+//! endpoints.
 
 use std::time::Duration;
 
 use resources::Name;
 
 use super::Dispatcher;
-use super::choice::SOUND_AFTER;
+use super::choice::HEALTHY_AFTER;
 use crate::belief::Strain;
 use crate::rate_limit::RateLimit;
 use crate::time::Time;
 
-/// Endpoints without work for this long are reported. The users look at stretches of two seconds.
+/// Endpoints idle for this long are reported. The availability target evaluates windows of two
+/// seconds.
 const REPORTED_IDLE: Duration = Duration::from_secs(2);
 
-/// Counts since the counts were last taken.
+/// Event counts since the last call of [`Dispatcher::take_counts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DispatchCounts {
-    /// First sends asked for for the first time.
+    /// Asks for a first send, without repeated asks.
     pub first: u32,
     /// Further sends granted.
     pub repeats: u32,
-    /// Further sends that the budget refused.
+    /// Further sends refused by the repeat budget.
     pub repeats_refused: u32,
     /// Requests refused because the queue was too long.
     pub queue_refused: u32,
-    /// Requests whose time ended while they waited for a slot.
-    pub waited_in_vain: u32,
-    /// Requests that were withdrawn while they waited.
+    /// Requests that waited for a slot until their deadline.
+    pub expired_waiting: u32,
+    /// Requests withdrawn while they waited.
     pub withdrawn: u32,
     /// Requests that were answered.
     pub answered: u32,
     /// Last sends that failed.
     pub failed: u32,
-    /// Last sends beyond the first that endpoints turned away.
+    /// Last sends, other than first sends, that endpoints shed.
     pub shed_last: u32,
     /// Requests that timed out at an endpoint.
     pub timed_out: u32,
-    /// Sends that were rejected because endpoints end under their request.
+    /// Sends rejected because endpoints crash while they run the request.
     pub rejected: u32,
-    /// Requests of routes that lead here too, and that another service did not serve.
+    /// Requests of split routes that lead here too and that another service did not serve.
     pub unserved_elsewhere: u32,
-    /// Requests that were refused before the service was asked for them.
-    pub refused_before: u32,
+    /// Requests refused before this service was asked for a slot.
+    pub refused_before_dispatch: u32,
     /// Slots that were given back.
     pub released: u32,
-    /// Slots that came free when an answer had begun, before it was whole.
+    /// Slots freed when an answer had begun, before it was complete.
     pub freed_early: u32,
-    /// Slots that were taken back because nothing was heard of their request any more.
+    /// Slots whose permit expired without release or renewal.
     pub expired: u32,
-    /// Sends granted to endpoints under a rate limit.
+    /// Sends granted to rate-limited endpoints.
     pub to_limited: u32,
-    /// Endpoints that were looked at for requests when they came.
-    pub looks: u64,
+    /// Endpoints evaluated in choices for newly arrived requests.
+    pub endpoints_evaluated: u64,
 }
 
-/// The slots of a service and the endpoints without work at one moment.
+/// Slots in use and state of the endpoints of a service at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Occupancy {
     /// Slots in use.
     pub in_use: u32,
-    /// Answers that travel and hold no slot.
-    pub travelling: u32,
+    /// Answers in transit that hold no slot.
+    pub in_transit: u32,
     /// Endpoints that are expected to serve.
     pub expected: u32,
-    /// Those of them whose last failure is old enough for the users to count them as sound.
-    pub sound: u32,
-    /// Sound ones that have had no work for two seconds.
-    pub sound_idle: u32,
-    /// Endpoints under a rate limit.
+    /// Expected endpoints whose last failure is so old that the availability target counts them as
+    /// healthy.
+    pub healthy: u32,
+    /// Healthy endpoints that have been idle for two seconds.
+    pub healthy_idle: u32,
+    /// Endpoints that have advertised a rate limit.
     pub limited: u32,
-    /// Requests a second that these take.
+    /// Sum of these rate limits, in requests a second.
     pub limit_per_s: f64,
-    /// Endpoints that have said that they leave.
+    /// Endpoints that have advertised that they are leaving.
     pub leaving: u32,
-    /// Endpoints that want nothing from some nodes for a while.
-    pub resting: u32,
+    /// Endpoints that have asked at least one node to back off.
+    pub with_backoffs: u32,
 }
 
-/// An endpoint that has had no work for two seconds, and what may be the reason.
+/// An endpoint that has been idle for two seconds, with possible reasons.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdleEndpoint {
     /// Identity of the endpoint.
     pub id: Name,
-    /// Time since it was last given work; nothing if it never was.
+    /// Time since its last request; `None` if it had none.
     pub idle: Option<Duration>,
-    /// Where it stands in the rotation.
+    /// Name of its state in the rotation.
     pub state: &'static str,
-    /// How it is used.
-    pub used: &'static str,
+    /// Name of its usage, which follows from the health estimate.
+    pub usage: &'static str,
     /// Whether its entry in the registry is missing.
     pub is_missing: bool,
-    /// Probability that it is sick.
-    pub sick: f64,
+    /// Probability that the endpoint is unhealthy.
+    pub p_unhealthy: f64,
     /// Time since its last failure.
     pub since_failure: Option<Duration>,
     /// Slots in use.
     pub in_use: u32,
-    /// For how long the oldest request on it has been open.
+    /// Age of the oldest open request on it.
     pub oldest_open: Option<Duration>,
 }
 
 impl Dispatcher {
-    /// Counts since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take_counts(&mut self) -> DispatchCounts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Endpoints that could be used and have had no work for two seconds.
+    /// Endpoints that have been known and idle for at least two seconds.
     pub fn idle_endpoints(&self, now: Time) -> impl Iterator<Item = IdleEndpoint> + '_ {
-        let share = self.signs.share();
+        let share = self.likelihoods.share();
         let all = self.endpoints().iter().zip(&self.loads);
         let is_idle = move |idle: Option<Duration>| idle.is_none_or(|it| it >= REPORTED_IDLE);
         all.filter(move |(_, load)| is_idle(load.idle(now)) && load.age(now) >= REPORTED_IDLE).map(
@@ -117,9 +119,9 @@
                 id: it.id.clone(),
                 idle: load.idle(now),
                 state: it.state.name(),
-                used: load.belief.usage(now, self.strain, share).name(),
+                usage: load.belief.usage(now, self.pressure, share).name(),
                 is_missing: it.is_missing,
-                sick: load.belief.sick(now, share),
+                p_unhealthy: load.belief.sick(now, share),
                 since_failure: load.belief.since_failure(now),
                 in_use: load.in_use(),
                 oldest_open: load.oldest_open(now),
@@ -127,35 +129,37 @@
         )
     }
 
-    /// Slots in use and sound endpoints without work.
+    /// Slots in use and state of the endpoints.
     pub fn occupancy(&self, now: Time) -> Occupancy {
         let mut it = Occupancy::default();
         for (status, load) in self.endpoints().iter().zip(&self.loads) {
             it.in_use += load.in_use();
-            it.travelling += load.travelling();
-            it.leaving += u32::from(load.said.is_leaving);
-            it.resting += u32::from(load.said.rests.count(now) > 0);
-            it.limited += u32::from(load.said.pace.limit().is_some());
-            it.limit_per_s += load.said.pace.limit().map_or(0.0, RateLimit::per_second);
+            it.in_transit += load.in_transit();
+            it.leaving += u32::from(load.advertised.is_leaving);
+            it.with_backoffs += u32::from(load.advertised.backoffs.count(now) > 0);
+            it.limited += u32::from(load.advertised.pacer.limit().is_some());
+            it.limit_per_s += load.advertised.pacer.limit().map_or(0.0, RateLimit::per_second);
             if !status.is_expected() {
                 continue;
             }
             it.expected += 1;
-            if load.age(now) >= REPORTED_IDLE && load.belief.failed_before(now, SOUND_AFTER) {
-                it.sound += 1;
-                it.sound_idle += u32::from(load.idle(now).is_none_or(|idle| idle >= REPORTED_IDLE));
+            if load.age(now) >= REPORTED_IDLE && load.belief.failed_before(now, HEALTHY_AFTER) {
+                it.healthy += 1;
+                it.healthy_idle +=
+                    u32::from(load.idle(now).is_none_or(|idle| idle >= REPORTED_IDLE));
             }
         }
         it
     }
 
-    /// Whether so much is not served, here or elsewhere, that endpoints without work are missed; as of the last choice.
-    pub fn is_strained(&self) -> bool {
-        self.strain != Strain::None
+    /// Whether so many requests are not served, here or by other services of a split route, that
+    /// idle endpoints count against the floor; as of the last choice.
+    pub fn is_under_pressure(&self) -> bool {
+        self.pressure != Strain::None
     }
 
-    /// How much the service misses endpoints, as of the last choice; for logs.
-    pub fn strain_name(&self) -> &'static str {
-        self.strain.name()
+    /// Name of the pressure on the service as of the last choice, for logs.
+    pub fn pressure_name(&self) -> &'static str {
+        self.pressure.name()
     }
 }
--- a/crates/policy/src/dispatcher/suspicion.rs
+++ b/crates/policy/src/dispatcher/crash_suspects.rs
@@ -1,47 +1,48 @@
-//! What a dispatcher does about requests under which endpoints have ended.
+//! Restricts requests during which endpoints have crashed.
 //!
-//! Such a request runs on one endpoint at a time, so that its copies do not end one endpoint each before the first
-//! crash is known, and never beside another such request, so that the next crash tells which of them it was. A
-//! harmless one loses the time until its next answer by that and nothing else.
+//! Such a request runs on one endpoint at a time, so that its copies do not crash several endpoints
+//! before the first crash is known. It never runs on the same endpoint as another such request, so
+//! that the next crash identifies the one at fault. A harmless request loses
+//! nothing but the time until its next answer.
 
 use std::time::Duration;
 
-use super::load::Load;
+use super::load::EndpointLoad;
 use super::{Dispatcher, Permit};
 use crate::observation::Kind;
 use crate::permit::{Ask, Reply, Settled};
 use crate::suspects::{Rejection, RequestKey, RunEnd};
 use crate::time::Time;
 
-/// What several nodes tell of one and the same crash comes within this time.
-const SAME_CRASH: Duration = Duration::from_millis(50);
+/// Reports of the same crash by several nodes arrive within this time.
+const CRASH_REPORT_SPREAD: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
-    /// For how much longer a request is rejected.
+    /// Remaining time for which a request is rejected; `None` if it is not.
     pub fn rejected(&self, now: Time, request: RequestKey) -> Option<Duration> {
         self.suspects.rejected(now, request)
     }
 
-    /// Takes in a rejection by another node.
+    /// Applies a rejection decided by another node.
     pub fn reject(&mut self, now: Time, it: Rejection) {
-        self.has_rejected |= self.suspects.reject(now, it);
+        self.has_new_rejections |= self.suspects.reject(now, it);
     }
 
-    /// Requests that have come to be rejected here since the last call.
+    /// Rejections decided here since the last call.
     pub fn take_rejections(&mut self) -> Vec<Rejection> {
         self.suspects.take_news()
     }
 
-    /// Learns how a send ended, `elapsed` after it began, for which another dispatcher gave the slot.
-    pub fn ran(&mut self, now: Time, request: RequestKey, end: RunEnd, elapsed: Duration) {
+    /// Records the end of a send, `elapsed` after it began, whose slot another dispatcher granted.
+    pub fn run_ended(&mut self, now: Time, request: RequestKey, end: RunEnd, elapsed: Duration) {
         match end {
             RunEnd::Answered => self.suspects.answered(now, request),
-            RunEnd::Crashed => self.crashed(now, request, now - (elapsed + SAME_CRASH)),
+            RunEnd::Crashed => self.crashed(now, request, now - (elapsed + CRASH_REPORT_SPREAD)),
         }
     }
 
-    /// The same for a slot of this dispatcher.
-    pub(super) fn suspect(&mut self, now: Time, permit: &Permit, kind: Kind) {
+    /// Records the end of a send whose slot this dispatcher granted.
+    pub(super) fn note_run_end(&mut self, now: Time, permit: &Permit, kind: Kind) {
         match kind {
             Kind::Answered => self.suspects.answered(now, permit.request),
             Kind::Crashed if self.endpoints()[permit.endpoint].is_expected() => {
@@ -53,33 +54,33 @@
 
     fn crashed(&mut self, now: Time, request: RequestKey, sent: Time) {
         self.suspects.crashed(now, request, sent);
-        self.has_rejected = true;
+        self.has_new_rejections = true;
     }
 
-    /// Whether one of the slots is held by the request.
-    pub(super) fn is_open(&self, request: RequestKey) -> bool {
+    /// Whether the request is open on an endpoint.
+    pub(super) fn has_open_send(&self, request: RequestKey) -> bool {
         self.loads.iter().any(|it| it.requests().any(|it| it == request))
     }
 
-    /// Whether an endpoint runs a request under which another one has ended.
-    pub(super) fn runs_watched(&self, load: &Load) -> bool {
+    /// Whether an endpoint runs a request during which another endpoint has crashed.
+    pub(super) fn runs_watched(&self, load: &EndpointLoad) -> bool {
         load.requests().any(|it| self.suspects.is_watched(it))
     }
 
-    /// The request of an ask, if an endpoint has ended under it.
+    /// The request of an ask, if an endpoint has crashed during it.
     pub(super) fn watched(&self, ask: &Ask) -> Option<RequestKey> {
         self.suspects.is_watched(ask.request).then_some(ask.request)
     }
 
-    /// Answers those that wait for a slot and are sent no more.
+    /// Removes rejected requests from the queue and returns replies for them.
     pub(super) fn turn_away_rejected(&mut self, now: Time) -> Vec<Settled> {
-        if !std::mem::take(&mut self.has_rejected) {
+        if !std::mem::take(&mut self.has_new_rejections) {
             return Vec::new();
         }
         let suspects = &self.suspects;
         let rejected = self.queue.extract(|it| suspects.rejected(now, it.item.request).is_some());
         self.counts.rejected += rejected.len() as u32;
-        self.leave_queue(rejected.iter().map(|it| &it.item));
+        self.release_reserved_repeats(rejected.iter().map(|it| &it.item));
         let answer = |ask: Ask| {
             let left = self.suspects.rejected(now, ask.request);
             let reply = Reply::Rejected { retry_after: left.unwrap_or_default() };
--- a/crates/policy/src/dispatcher/overlap.rs
+++ b/crates/policy/src/dispatcher/overlap.rs
@@ -1,72 +1,80 @@
-//! Whether the endpoints of a service take the next request once an answer has begun, or hold its slot until the last byte has
-//! gone.
+//! Detects whether the endpoints of a service take the next request as soon as an answer has begun,
+//! or only after its last byte is sent.
 //!
-//! Answers what load it saves: long answers over thin links, which travel for as long as the work takes or longer. A slot that
-//! stays in use meanwhile halves the service. Upstreams differ: one that writes from a buffer works on; one that
-//! holds a worker until the last byte has gone turns away, or keeps waiting, what is sent too early. A send that goes to an
-//! endpoint only because answers travel from there is an experiment: how such sends fare beside the others tells
-//! which it is.
+//! This matters for long answers over thin links, which are in transit for as long as the work
+//! takes or longer. If each answer held its slot meanwhile, the service would have half its
+//! capacity. Upstreams differ: one that writes from a buffer goes on working; one that holds a
+//! worker until the last byte is sent sheds or queues requests that arrive earlier. Sends that fit
+//! on an endpoint only because answers in transit hold no slot serve as an experiment: their
+//! outcomes, compared with those of all other sends, show which kind the upstream is.
 
 use std::time::Duration;
 
 use super::{Dispatcher, Permit};
 use crate::time::Time;
 
-/// Sends of a kind before they are judged.
+/// Minimum number of sends of a kind before its outcomes are compared.
 const MIN_SENDS: f64 = 16.0;
-/// Time constant with which sends lose their weight, in seconds. Kinds of sends are compared that went out at about the same
-/// time: a service gets slower and faster as a whole.
-const COUNTS_FOR: f64 = 5.0;
-/// Slots are held if so much more of the sends beside answers is shed than of the others.
-const SHED_MORE: f64 = 0.2;
-/// Slots are held if sends beside answers take so many times as long to be answered. Endpoints get slower when they are nearly
-/// full, which is no reason to leave them unused.
-const SLOWER: f64 = 2.0;
-/// For how long slots count as held before it is tried again; doubles each time.
-const HELD_FOR: Duration = Duration::from_secs(10);
-/// Longest such time.
-const MAX_HELD_FOR: Duration = Duration::from_secs(320);
-
-/// What endpoints do while an answer of theirs travels.
+/// Time constant of the decay of older sends, in seconds. Only sends of about the same time are
+/// comparable, because a service gets slower and faster as a whole.
+const MEMORY_S: f64 = 5.0;
+/// Slots are held if the share of overlapping sends that are shed exceeds that of regular sends by
+/// more than this.
+const MAX_EXTRA_SHED_SHARE: f64 = 0.2;
+/// Slots are held if overlapping sends take more than this many times as long to be answered as
+/// regular sends. Endpoints also get slower when they are nearly full, which is no reason to leave
+/// slots unused.
+const MAX_SLOWDOWN: f64 = 2.0;
+/// How long slots are held before overlapping sends are tried again; doubles each time.
+const FIRST_HOLD_PERIOD: Duration = Duration::from_secs(10);
+/// Upper bound of this time.
+const MAX_HOLD_PERIOD: Duration = Duration::from_secs(320);
+
+/// Compares sends that overlap with answers in transit to regular sends.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Overlap {
-    /// Sends to endpoints that would have had no free slot if answers held theirs.
-    beside: Tally,
-    /// All others.
-    alone: Tally,
-    /// Slots count as held until then.
+    /// Sends to endpoints that would have had no free slot if answers in transit held theirs.
+    overlapping: Tally,
+    /// All other sends.
+    regular: Tally,
+    /// The latest period in which answers in transit hold their slots, if there was one.
     held: Option<Held>,
 }
 
+/// A period in which answers in transit hold their slots.
 #[derive(Clone, Copy, Debug)]
 struct Held {
     until: Time,
     length: Duration,
 }
 
-/// Whether a send went to an endpoint only because answers travel from there.
+/// Whether a send fits on its endpoint only because answers in transit hold no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sent {
-    Alone,
-    BesideAnswers,
+pub(super) enum Placement {
+    /// The endpoint would have had a free slot in any case.
+    Regular,
+    /// The endpoint has a free slot only because of answers in transit.
+    Overlapping,
 }
 
-/// How a send began.
+/// How an endpoint responded to a send.
 #[derive(Clone, Copy, Debug)]
-enum Began {
+enum SendResponse {
     /// Turned away before any work.
     Shed,
-    /// Its answer began after so many times the objective.
+    /// The answer began after this multiple of the objective.
     Answered(f64),
 }
 
-/// Sends of one kind, the late ones with more weight.
+/// Decaying counts of the sends of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     sends: f64,
     shed: f64,
     answered: f64,
+    /// Sum of the times until the answers began, in multiples of the objective.
     took: f64,
+    /// Time up to which the counts have decayed.
     at: Time,
 }
 
@@ -76,46 +84,47 @@
         self.held.is_none_or(|it| now >= it.until)
     }
 
-    /// Takes in how a send began.
-    fn note(&mut self, now: Time, sent: Sent, began: Began) {
-        match sent {
-            Sent::Alone => self.alone.add(now, began),
-            Sent::BesideAnswers => self.beside.add(now, began),
+    /// Records the response to a send.
+    fn note(&mut self, now: Time, placement: Placement, response: SendResponse) {
+        match placement {
+            Placement::Regular => self.regular.add(now, response),
+            Placement::Overlapping => self.overlapping.add(now, response),
         }
-        self.alone.fade(now);
-        if sent == Sent::BesideAnswers && self.are_held() {
-            let length = self.held.map_or(HELD_FOR, |it| (it.length * 2).min(MAX_HELD_FOR));
+        self.regular.decay(now);
+        if placement == Placement::Overlapping && self.must_hold_slots() {
+            let length =
+                self.held.map_or(FIRST_HOLD_PERIOD, |it| (it.length * 2).min(MAX_HOLD_PERIOD));
             self.held = Some(Held { until: now + length, length });
-            self.beside = Tally::default();
+            self.overlapping = Tally::default();
         }
     }
 
-    fn are_held(&self) -> bool {
-        let (beside, alone) = (&self.beside, &self.alone);
-        let is_known = beside.sends >= MIN_SENDS;
-        let is_shed = beside.shed_share() > alone.shed_share() + SHED_MORE;
-        let is_slower = beside.answered >= MIN_SENDS
-            && alone.answered >= MIN_SENDS
-            && beside.mean_took() > SLOWER * alone.mean_took();
+    fn must_hold_slots(&self) -> bool {
+        let (overlapping, regular) = (&self.overlapping, &self.regular);
+        let is_known = overlapping.sends >= MIN_SENDS;
+        let is_shed = overlapping.shed_share() > regular.shed_share() + MAX_EXTRA_SHED_SHARE;
+        let is_slower = overlapping.answered >= MIN_SENDS
+            && regular.answered >= MIN_SENDS
+            && overlapping.mean_took() > MAX_SLOWDOWN * regular.mean_took();
         is_known && (is_shed || is_slower)
     }
 }
 
 impl Tally {
-    fn fade(&mut self, now: Time) {
-        let kept = (-now.seconds_since(self.at) / COUNTS_FOR).exp();
+    fn decay(&mut self, now: Time) {
+        let kept = (-now.seconds_since(self.at) / MEMORY_S).exp();
         for it in [&mut self.sends, &mut self.shed, &mut self.answered, &mut self.took] {
             *it *= kept;
         }
         self.at = now;
     }
 
-    fn add(&mut self, now: Time, began: Began) {
-        self.fade(now);
+    fn add(&mut self, now: Time, response: SendResponse) {
+        self.decay(now);
         self.sends += 1.0;
-        match began {
-            Began::Shed => self.shed += 1.0,
-            Began::Answered(took) => {
+        match response {
+            SendResponse::Shed => self.shed += 1.0,
+            SendResponse::Answered(took) => {
                 self.answered += 1.0;
                 self.took += took;
             }
@@ -132,25 +141,25 @@
 }
 
 impl Dispatcher {
-    /// Whether a send that goes to an endpoint now goes there only because answers that travel hold no slot.
-    pub(super) fn sent_to(&self, now: Time, endpoint: usize) -> Sent {
+    /// Whether a send to an endpoint fits now only because answers in transit hold no slot.
+    pub(super) fn placement(&self, now: Time, endpoint: usize) -> Placement {
         let load = &self.loads[endpoint];
         let slots = self.endpoints()[endpoint].usable_slots(now);
-        match load.in_use() + load.travelling() >= slots && load.travelling() > 0 {
-            true => Sent::BesideAnswers,
-            false => Sent::Alone,
+        match load.in_use() + load.in_transit() >= slots && load.in_transit() > 0 {
+            true => Placement::Overlapping,
+            false => Placement::Regular,
         }
     }
 
-    /// Takes in after what part of the objective an answer began.
+    /// Records the time until an answer began.
     pub(super) fn note_answer(&mut self, now: Time, permit: &Permit, elapsed: Duration) {
         let objective = permit.objective.max(Duration::from_millis(1));
         let took = elapsed.as_secs_f64() / objective.as_secs_f64();
-        self.overlap.note(now, permit.sent, Began::Answered(took));
+        self.overlap.note(now, permit.placement, SendResponse::Answered(took));
     }
 
-    /// Takes in that a send was turned away.
-    pub(super) fn note_shed(&mut self, now: Time, sent: Sent) {
-        self.overlap.note(now, sent, Began::Shed);
+    /// Records that a send was shed.
+    pub(super) fn note_shed(&mut self, now: Time, placement: Placement) {
+        self.overlap.note(now, placement, SendResponse::Shed);
     }
 }
