--- a/crates/fleet/src/allowances.rs
+++ b/crates/fleet/src/allowances.rs
@@ -1,8 +1,9 @@
-//! Allowances between nodes: asks the owner of an organisation's bucket whether one more request may run, and answers
-//! those that ask this node.
+//! Allowances between nodes: asks the owner of an organisation's bucket whether one more request
+//! may run, and answers the asks of other nodes.
 //!
-//! Each ask names the owners that its node asks, which entrusts its share of all allowances to them
-//! (`policy::Buckets`). A node that has nothing to ask says so as often as needed.
+//! Each ask names the owners that the asking node currently uses, and delegates the node's share of
+//! all allowances to them (see `policy::Buckets`). A node without asks sends the same delegation
+//! periodically.
 
 mod client;
 mod owner;
@@ -18,20 +19,20 @@
 pub enum AllowanceMessage {
     /// Asks whether a request may run.
     Ask {
-        /// Which ask of the sender it is.
+        /// Number of the ask at its sender.
         seq: u64,
         /// Hash of the organisation's name.
         organisation: u64,
-        /// The owners that the sender asks now.
+        /// The owners that the sender currently uses.
         entrusted: Entrusted,
     },
     /// Answers an ask.
     Answer {
-        /// Which one.
+        /// Number of the ask.
         seq: u64,
-        /// The answer.
+        /// The decision.
         decision: Decision,
     },
-    /// Names the owners that the sender asks.
+    /// Names the owners that the sender currently uses.
     Entrust(Entrusted),
 }
