--- a/crates/fleet/src/allowances/client.rs
+++ b/crates/fleet/src/allowances/client.rs
@@ -1,4 +1,4 @@
-//! The asking side of allowances.
+//! Asking side of allowances.
 
 use std::time::Duration;
 
@@ -7,19 +7,20 @@
 
 use super::AllowanceMessage;
 
-/// Asks without an answer after which an owner is passed over. A successor has next to nothing to grant to the few that
-/// come to it, so that waiting for an owner that is merely late is better than asking the next.
+/// Unanswered asks after which an owner is passed over. A successor can grant next to nothing to
+/// the few nodes that turn to it, so waiting for a late owner is better than asking the next one.
 const ASKS_IN_VAIN: u32 = 6;
-/// Silent owners after which a node has its own share alone.
+/// Silent owners after which a node uses its own share alone.
 const MAX_SILENT: u32 = 2;
-/// An owner hears from each node at least this often: three times while a share counts.
+/// Each owner receives the delegation of every node at least this often, which is three times
+/// during the validity of a share.
 const ENTRUST_EVERY: Duration = Duration::from_millis(500);
-/// The first owners are told that they are for this long: a few messages may be lost.
+/// Delegations to the first owners carry a mark for this long, because a few messages may be lost.
 const FIRST_FOR: Duration = Duration::from_secs(3);
-/// Organisations for which a node remembers that asking is in vain.
+/// Maximum number of organisations for which a node remembers an exhausted bucket.
 const MAX_CLOSED: usize = 4_096;
 
-/// What became of an ask.
+/// Outcome of an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllowanceOutcome {
     /// Decided by the owner of the bucket.
@@ -28,46 +29,46 @@
     Unknown,
 }
 
-/// What the asking side wants done.
+/// An action that the caller of the client has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AllowanceAction {
-    /// Decide by the owner of this node, which stands for these owners.
+    /// Let the owner of this node decide, as one of the named owners.
     AskHere {
-        /// Which ask.
+        /// Number of the ask.
         seq: u64,
         /// Hash of the organisation's name.
         organisation: u64,
-        /// The owners that this node asks: itself among others, or itself alone.
+        /// The owners that this node uses: itself and others, or itself alone.
         entrusted: Entrusted,
     },
     /// Send a message.
     Send(NodeId, AllowanceMessage),
-    /// An owner does not answer.
+    /// Pass over an owner that does not answer.
     PassOver(NodeId),
-    /// An ask is settled.
+    /// Complete an ask.
     Settle(u64, AllowanceOutcome),
 }
 
-/// An ask that is under way.
+/// An ask that waits for its decision.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     organisation: u64,
     owner: NodeId,
     asked: Time,
-    /// Asks at this owner.
+    /// Number of asks at this owner.
     asks: u32,
-    /// Owners that did not answer.
+    /// Number of owners that did not answer.
     silent: u32,
 }
 
-/// Asking is in vain until then.
+/// An exhausted bucket: until then asking is without success.
 #[derive(Clone, Copy, Debug)]
 struct Closed {
     until: Time,
     retry_at: Time,
 }
 
-/// The asking side of one node.
+/// Asking side of one node.
 #[derive(Debug)]
 pub struct AllowanceClient {
     me: NodeId,
@@ -75,21 +76,22 @@
     next_seq: u64,
     pending: FxHashMap<u64, Pending>,
     closed: FxHashMap<u64, Closed>,
-    /// When each owner last heard from this node.
+    /// When each owner was last sent the delegation of this node.
     told: FxHashMap<NodeId, Time>,
-    /// The owners that were named last.
+    /// The owners named in the last delegations.
     named: Vec<NodeId>,
-    /// Tells this life of the process from those before.
+    /// Distinguishes this incarnation of the process from earlier ones.
     life: u32,
-    /// The first owners that were named once the fleet was known, and until when they are told so.
+    /// The first owners named after the discovery of the fleet, and until when their delegations
+    /// carry the mark of first owners.
     first: Option<(Vec<NodeId>, Time)>,
-    /// Asks that were settled without an owner.
+    /// Number of asks completed without an owner.
     pub alone: u64,
 }
 
 impl AllowanceClient {
-    /// The asking side of the node `me`. Asks without an answer for `timeout` are said again. `life` differs between lives of
-    /// the node.
+    /// Creates the client of the node `me`. Asks without an answer for `timeout` are repeated.
+    /// `life` differs between incarnations of the node.
     pub fn new(me: NodeId, timeout: Duration, life: u32) -> Self {
         Self {
             me,
@@ -105,23 +107,23 @@
         }
     }
 
-    /// The fleet is known from now on: the owners are those that it names.
+    /// Records that this node has discovered the fleet and names these owners from now on.
     pub fn know_fleet(&mut self, now: Time, owners: &[NodeId]) {
         if self.first.is_none() {
             self.first = Some((owners.to_vec(), now + FIRST_FOR));
-            // They are to hear of it at once.
+            // The owners have to be notified at once.
             self.told.clear();
         }
     }
 
-    /// What this node says to an owner.
+    /// The delegation that this node sends to an owner.
     pub fn entrusted(&self, now: Time, owners: &[NodeId], to: NodeId) -> Entrusted {
         let is_first =
             self.first.as_ref().is_some_and(|(it, until)| now < *until && it.contains(&to));
         Entrusted { owners: owners.to_vec(), life: self.life, is_first }
     }
 
-    /// Whether nothing is under way.
+    /// Whether no ask is pending.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
@@ -145,7 +147,7 @@
         (seq, self.ask_owner(now, seq, owners))
     }
 
-    /// Takes in a decision of `from`.
+    /// Processes a decision of `from`.
     pub fn answer(
         &mut self,
         now: Time,
@@ -174,7 +176,8 @@
         Some(AllowanceAction::Settle(seq, outcome))
     }
 
-    /// Handles what was not answered in time, and lets the owners hear from this node.
+    /// Repeats the asks that were not answered in time, and sends the delegation to owners at
+    /// regular intervals.
     pub fn tick(&mut self, now: Time, owners: &[NodeId]) -> Vec<AllowanceAction> {
         let is_late = |it: &Pending| now.since(it.asked) >= self.timeout;
         let late: Vec<u64> =
@@ -195,7 +198,8 @@
         actions
     }
 
-    /// Tells owners that are named no more: they would count the share of this node beside those that have it now.
+    /// Notifies owners that are named no more: they would count this node's share in addition to
+    /// the owners that hold it now.
     fn leave_former(&mut self, now: Time, owners: &[NodeId]) -> Vec<AllowanceAction> {
         if self.named == owners {
             return Vec::new();
@@ -220,7 +224,7 @@
         let Some(pending) = self.pending.get_mut(&seq) else { return };
         let silent = pending.owner;
         let mut left = owners.to_vec();
-        // This node itself answers as soon as it knows the fleet.
+        // The owner on this node answers as soon as the fleet is discovered.
         if pending.asks >= ASKS_IN_VAIN && silent != self.me {
             pending.silent += 1;
             pending.asks = 0;
