--- a/crates/fleet/src/allowances/owner.rs
+++ b/crates/fleet/src/allowances/owner.rs
@@ -1,4 +1,4 @@
-//! The answering side of allowances.
+//! Answering side of allowances.
 
 use std::time::Duration;
 
@@ -6,19 +6,21 @@
 use resources::Allowance;
 use rustc_hash::FxHashMap;
 
-/// An answer is remembered for this long: an ask that is said again takes no second request from the bucket.
+/// An answer is remembered for this long, so that a repeated ask does not take a second request
+/// from the bucket.
 const REMEMBER_ANSWER: Duration = Duration::from_secs(1);
 
-/// How far an owner that has started is.
+/// Start phase of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnerPhase {
-    /// It knows the fleet, whose nodes entrust their shares to it just now. What it cannot grant yet waits.
+    /// The owner has discovered the fleet, and the nodes are delegating their shares to it.
+    /// Requests that it cannot grant yet have to wait.
     Settling,
-    /// It has the shares that it will have for now.
+    /// The owner has received the shares it will get for now.
     Settled,
 }
 
-/// The buckets of one node, and what it has answered lately.
+/// The buckets of one node, and its recent answers.
 #[derive(Debug)]
 pub struct AllowanceOwner {
     /// The buckets.
@@ -28,7 +30,7 @@
 }
 
 impl AllowanceOwner {
-    /// No buckets yet at the node `me`.
+    /// Creates an owner without buckets at the node `me`.
     pub fn new(me: NodeId) -> Self {
         Self {
             buckets: Buckets::new(me),
@@ -37,8 +39,8 @@
         }
     }
 
-    /// Decides on an ask of `from`. Nothing limits an organisation that is not known here to be
-    /// limited: whoever asks may have a newer configuration.
+    /// Decides on an ask of `from`. An organisation without a known limit is granted everything,
+    /// because the asking node may have a newer configuration.
     pub fn ask(
         &mut self,
         now: Time,
