--- a/crates/fleet/src/backlog.rs
+++ b/crates/fleet/src/backlog.rs
@@ -1,29 +1,30 @@
-//! How much a node has under way to peers that fetch from it.
+//! Limits the bytes that a node sends concurrently to peers that fetch from it.
 //!
-//! Peers come all at once: when a configuration changes, each node of a failure domain fetches it from the one
-//! that reads the platform. Whatever is more than the link carries in a moment is refused at once; those
-//! that are refused read the platform themselves. Without a bound a link of 10 Mbit/s was full for three
-//! seconds with copies of 345 KB, the node's own calls to the platform got no answer, and it used a
-//! configuration for 3.4 to 4.9 s after the next one was acknowledged (2.5 s are allowed).
+//! Peers fetch all at once: when a configuration changes, every node of a failure domain fetches it
+//! from the reader. A fetch that would exceed what the link carries in a moment is refused at once,
+//! and the refused nodes read the platform themselves. Without the limit, copies of 345 KB filled a
+//! link of 10 Mbit/s for three seconds; the node's own calls to the platform got no answer, and the
+//! node used an outdated configuration for 3.4 to 4.9 s after the acknowledgement of the next one
+//! (2.5 s are allowed).
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// What is under way may take the link for so long. A call to the platform waits up to 0.4 s for its
-/// answer.
+/// The bytes in flight may occupy the link for this long. A call to the platform waits up to 0.4 s
+/// for its answer.
 const MAX_DELAY: Duration = Duration::from_millis(200);
-/// Bytes a second of a link of 1 Mbit/s.
+/// Bytes per second on a link of 1 Mbit/s.
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
-/// Bytes under way, and how many there may be.
+/// Counts the bytes in flight against their limit.
 #[derive(Debug)]
 pub struct Backlog {
     limit: usize,
     under_way: AtomicUsize,
 }
 
-/// A place in the backlog, given back when it is dropped.
+/// A reservation in the backlog, returned on drop.
 #[derive(Debug)]
 pub struct Admitted {
     backlog: Arc<Backlog>,
@@ -31,21 +32,21 @@
 }
 
 impl Backlog {
-    /// The backlog of a node whose link carries so many Mbit/s.
+    /// Creates the backlog of a node with a link of `mbps` Mbit/s.
     pub fn for_link(mbps: f64) -> Arc<Self> {
         let limit = (mbps * BYTES_PER_MBIT * MAX_DELAY.as_secs_f64()) as usize;
         Arc::new(Self { limit, under_way: AtomicUsize::new(0) })
     }
 
-    /// Takes on an answer of so many bytes if it fits. One that is too long by itself is sent while nothing
-    /// else is.
+    /// Reserves space for an answer of `bytes` bytes; returns `None` if it does not fit. An answer
+    /// longer than the limit is admitted while nothing else is in flight.
     pub fn admit(self: &Arc<Self>, bytes: usize) -> Option<Admitted> {
         let fits = |it: usize| (it == 0 || it + bytes <= self.limit).then_some(it + bytes);
         let admitted = self.under_way.fetch_update(Ordering::Relaxed, Ordering::Relaxed, fits);
         admitted.ok().map(|_| Admitted { backlog: self.clone(), bytes })
     }
 
-    /// Bytes under way.
+    /// Bytes in flight.
     pub fn under_way(&self) -> usize {
         self.under_way.load(Ordering::Relaxed)
     }
