--- a/crates/fleet/src/delivery.rs
+++ b/crates/fleet/src/delivery.rs
@@ -1,8 +1,9 @@
-//! Reliable delivery of messages about slots: numbered, sent again until they are acknowledged, taken in once.
+//! Reliable delivery of messages about slots: messages are numbered, sent again until they are
+//! acknowledged, and processed once.
 //!
-//! Datagrams are lost when a link is full, and a node tells that a request has ended at the moment at which the
-//! answer fills its link. What is true must not rest on one datagram then: a slot whose release is lost is held for as
-//! long as its permit lives, ten times as long as the request.
+//! A full link loses datagrams, and a node reports the end of a request at the moment when the
+//! answer fills its link. The report must therefore not depend on a single datagram: a slot whose
+//! release is lost stays in use until its permit expires, ten times as long as the request.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,42 +13,45 @@
 
 use crate::wire::{Ack, Batch, MAX_BATCH_BYTES, MAX_NUMBER_BYTES, PermitMessage};
 
-/// A message without an acknowledgement is sent again after this. It is longer than a long answer fills a weak link.
+/// A message without an acknowledgement is sent again after this time, which is longer than a long
+/// answer occupies a slow link.
 const RESEND_AFTER: Duration = Duration::from_millis(80);
-/// Longest pause between two sends of a message; the pauses double until then.
+/// Upper bound of the interval between two sends of a message; the interval doubles up to this
+/// bound.
 const MAX_RESEND_AFTER: Duration = Duration::from_millis(160);
-/// A message is given up after this: permits that nothing is heard of have expired by then.
+/// A message is given up after this time; permits that were not renewed have expired by then.
 const LIFETIME: Duration = Duration::from_secs(3);
-/// Messages held for one peer at most; the oldest are given up first.
+/// Maximum number of messages held for one peer; the oldest are given up first.
 const MAX_HELD: usize = 512;
-/// What is known of a peer's numbers is forgotten when nothing was heard of it for so long: far longer than any message
-/// lives.
+/// The message numbers of a peer are forgotten when nothing was received from it for this long, far
+/// longer than the lifetime of any message.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// A message that no frame can carry.
+/// A message is too long for a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a message about slots of {bytes} bytes fits no frame: split it into several")]
 pub struct MessageTooLong {
     bytes: usize,
 }
 
-/// Messages under way to and from all peers.
+/// Messages in flight to and from all peers.
 #[derive(Debug)]
 pub struct Delivery {
-    /// Tells the numbers of this process from those of one before it at the same address.
+    /// Distinguishes the numbers of this process from those of an earlier process at the same
+    /// address.
     stream: u32,
     outboxes: FxHashMap<NodeId, Outbox>,
     inboxes: FxHashMap<NodeId, Inbox>,
-    /// No later than the first moment at which something is to be sent again or given up.
+    /// Lower bound of the next time at which a message has to be sent again or given up.
     due: Option<Time>,
     next_forget: Time,
-    /// Messages that were sent again.
+    /// Number of messages sent again.
     pub resent: u64,
-    /// Messages that were given up.
+    /// Number of messages given up.
     pub given_up: u64,
 }
 
-/// What one peer has not acknowledged yet.
+/// Messages that one peer has not acknowledged yet.
 #[derive(Debug, Default)]
 struct Outbox {
     next_number: u64,
@@ -58,30 +62,31 @@
 struct Held {
     number: u64,
     message: PermitMessage,
-    /// Bytes that it takes in a frame, with its number.
+    /// Encoded length in a frame, with the number.
     bytes: usize,
-    /// When it was first sent.
+    /// When the message was first sent.
     sent: Time,
     expires: Time,
     due: Time,
-    /// Pause before the next send.
+    /// Interval before the next send.
     pause: Duration,
 }
 
-/// Which numbers of one peer were taken in.
+/// Message numbers received from one peer.
 #[derive(Debug)]
 struct Inbox {
     stream: u32,
-    /// The stream before this one: its frames may still be on their way.
+    /// The previous stream, whose frames may still arrive late.
     former: Option<u32>,
-    /// All numbers below were taken in or given up.
+    /// All lower numbers were received or given up.
     complete_to: u64,
     taken: FxHashSet<u64>,
     heard: Time,
 }
 
 impl Delivery {
-    /// Nothing under way yet. `stream` differs from that of any process before at this address.
+    /// Creates a state without messages. `stream` has to differ from that of every earlier process
+    /// at this address.
     pub fn new(stream: u32) -> Self {
         Self {
             stream,
@@ -94,7 +99,7 @@
         }
     }
 
-    /// Takes charge of a message; returns what to send now.
+    /// Starts the delivery of a message; returns the batch to send now.
     pub fn send(
         &mut self,
         now: Time,
@@ -127,8 +132,8 @@
         Ok(Batch { stream: self.stream, oldest, messages: vec![(number, message)] })
     }
 
-    /// Takes in what a peer has sent; returns the messages that were not taken in before, and the acknowledgement to
-    /// send.
+    /// Processes a batch from a peer; returns the messages that were not received before, and the
+    /// acknowledgement to send.
     pub fn receive(&mut self, now: Time, from: NodeId, batch: Batch) -> (Vec<PermitMessage>, Ack) {
         let Batch { stream, oldest, messages } = batch;
         let numbers = messages.iter().map(|(number, _)| *number).collect();
@@ -147,7 +152,7 @@
         (new, ack)
     }
 
-    /// Takes in an acknowledgement. Returns when the messages that it concerns were first sent.
+    /// Processes an acknowledgement; returns when the acknowledged messages were first sent.
     pub fn acknowledged(&mut self, from: NodeId, ack: &Ack) -> Vec<Time> {
         let Some(outbox) = self.outboxes.get_mut(&from).filter(|_| ack.stream == self.stream)
         else {
@@ -165,12 +170,12 @@
         sent
     }
 
-    /// The next moment at which `tick` has something to do.
+    /// The next time at which `tick` has work to do.
     pub fn due(&self) -> Option<Time> {
         self.due
     }
 
-    /// What is to be sent again now.
+    /// Returns the batches to send again now.
     pub fn tick(&mut self, now: Time) -> Vec<(NodeId, Batch)> {
         if self.due.is_none_or(|it| now < it) {
             return Vec::new();
@@ -190,7 +195,7 @@
         batches
     }
 
-    /// Messages that are not acknowledged yet.
+    /// Number of messages that are not acknowledged yet.
     pub fn held(&self) -> usize {
         self.outboxes.values().map(|it| it.held.len()).sum()
     }
@@ -204,7 +209,7 @@
 }
 
 impl Outbox {
-    /// No number below it is sent again.
+    /// Lowest number that may still be sent again.
     fn oldest(&self) -> u64 {
         self.held.front().map_or(self.next_number, |it| it.number)
     }
@@ -215,7 +220,7 @@
         (before - self.held.len()) as u64
     }
 
-    /// The messages to be sent again, by frame.
+    /// Takes the messages to send again, grouped by frame.
     fn take_due(&mut self, now: Time) -> Vec<Vec<(u64, PermitMessage)>> {
         let mut frames: Vec<Vec<_>> = Vec::new();
         let mut room = 0;
@@ -238,12 +243,12 @@
         Self { stream, former, complete_to: 0, taken: FxHashSet::default(), heard: now }
     }
 
-    /// Whether the message of this number is new.
+    /// Records a number; returns whether it is new.
     fn take(&mut self, number: u64) -> bool {
         number >= self.complete_to && self.taken.insert(number)
     }
 
-    /// Numbers below `oldest` do not come again.
+    /// Records that numbers below `oldest` do not arrive again.
     fn complete(&mut self, oldest: u64) {
         self.complete_to = self.complete_to.max(oldest);
         while self.taken.remove(&self.complete_to) {
