--- a/crates/fleet/src/duty.rs
+++ b/crates/fleet/src/duty.rs
@@ -1,73 +1,79 @@
-//! Which nodes read the platform: in each failure domain one, and the others as soon as they hear
-//! nothing from it.
+//! Reader election: decides which nodes read the platform. Each failure domain has one reader; its
+//! other nodes take over when they receive no reader status any more.
 //!
-//! There is no election. A node that reads tells the others of its failure domain so; a node reads
-//! unless it hears that one that precedes it does. Two that read at once cost calls and nothing else. So that it is
-//! not all of them that step in, each waits for its turn first: those that precede it may have stepped in by then.
+//! There is no vote. A reader announces itself to the nodes of its failure domain, and every node
+//! reads unless it receives announcements of a node with a better rank. Two concurrent readers only
+//! cost additional calls. To keep all nodes from taking over at once, each one backs off by its
+//! rank, which gives the nodes of better rank the time to take over first.
 
 use std::time::Duration;
 
 use policy::{NodeId, Time};
 
-/// Interval at which a node that reads says so.
+/// Interval at which a reader announces itself.
 pub(crate) const NEWS_EVERY: Duration = Duration::from_millis(400);
-/// A change that the platform acknowledges is in force at each node that the platform answers after this.
+/// A change that the platform has acknowledged is in force within this time on every node that the
+/// platform answers.
 const IN_FORCE: Duration = Duration::from_secs(2);
-/// A reader is stepped in for when its last answer of the platform is older than this, whether it is heard or not.
-/// Longer than a watch without changes and one lost frame of news.
+/// A reader is replaced when the last answer of the platform to it is older than this, even if its
+/// announcements still arrive. The limit is longer than a watch without changes and one lost
+/// announcement.
 const OLD_PROOF: Duration = Duration::from_millis(1_200);
-/// Time for a connection and two calls of a node that steps in, and for the timers before them.
+/// Time that a node needs to take over: a connection, two calls and the timers before them.
 const STEP_IN: Duration = Duration::from_millis(400);
-/// A node that knows that it lacks something and cannot fetch it from peers reads after this.
+/// A node that misses updates and cannot fetch them from peers reads the platform after this time.
 const BEHIND: Duration = Duration::from_millis(500);
-/// A node whose last proof is older than this may have missed a change.
+/// A node whose last freshness confirmation is older than this may have missed a change.
 const FRESH_FOR: Duration = Duration::from_millis(1_500);
-/// Time that each node which precedes this one has to step in before it: an answer of the platform and the news of
-/// it take less.
+/// Additional back-off for each node of better rank. An answer of the platform and the announcement
+/// that follows take less.
 const STEP: Duration = Duration::from_millis(50);
-/// Longest time that a node waits for those before it, who may all be gone.
+/// Upper bound of the back-off, because all nodes of better rank may be gone.
 const LONGEST_TURN: Duration = Duration::from_millis(400);
-// All waits follow the last proof, so that their sum is the bound.
+// All these times count from the last freshness confirmation, so their sum bounds the delay.
 const _: () = assert!(
     OLD_PROOF.as_millis() + LONGEST_TURN.as_millis() + STEP_IN.as_millis() <= IN_FORCE.as_millis()
 );
 const _: () = assert!(FRESH_FOR.as_millis() + STEP_IN.as_millis() <= IN_FORCE.as_millis());
-/// What a node that starts lets its link carry before it reads the platform, in bytes: about a page of the
-/// platform. By then those with better links have read it and can be asked, and reading it does not fill its own.
+/// Size in bytes of the transfer that a starting node waits for before it reads the platform: about
+/// one page of the platform. By then nodes with faster links have read the platform and can be
+/// asked, so the starting node does not fill its own link with the read.
 const FIRST_COPY_BYTES: f64 = 1e6;
-/// Bits a second of 1 Mbit/s.
+/// Bits per second of 1 Mbit/s.
 const BITS_PER_MBIT: f64 = 1e6;
-/// Part of the time that the link takes for which a node that starts waits at least; by its spread it waits for up to
-/// once that time more. With 0.75, of 850 nodes in virtual time some read the platform before first copies had reached
-/// them all, and all together made 479 calls instead of 238.
+/// Lower bound of the initial back-off of a starting node, as a multiple of the transfer time of
+/// `FIRST_COPY_BYTES` on its link; the random spread adds up to one more transfer time. With 0.75,
+/// some of 850 nodes in virtual time read the platform before the first copies had reached all
+/// nodes, and the fleet made 479 calls instead of 238.
 const EARLIEST_PART: f64 = 1.25;
 
-/// How long a read of this node is proof enough to tell others that it reads.
+/// A node may announce itself as reader for this long after an answer of the platform.
 const OWN_PROOF: Duration = Duration::from_millis(1_300);
 
-/// What a node is to read of the platform.
+/// What a node has to read from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reads {
     /// Nothing: another node reads.
     Nothing,
-    /// The configuration, once: a newer one is known to exist and cannot be had from peers.
+    /// The configuration, once: a newer one exists and cannot be fetched from peers.
     Configuration,
-    /// All that changes.
+    /// All changes.
     Everything,
 }
 
-/// What a reader says that the platform has last said to it.
+/// Reader status: what a reader reports about the last answer of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Word {
-    /// Nothing.
+    /// The platform did not answer.
     Lost,
-    /// That nothing was newer at this time than what is known here.
+    /// At this time the platform had nothing newer than the local copy.
     Proof(Time),
-    /// Something at this time that is not known here, or cannot be read.
+    /// The platform answered at this time, with something that is not known locally or cannot be
+    /// read.
     Other(Time),
 }
 
-/// What is known to exist and is not known here.
+/// Updates that are known to exist and are missing locally.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Lacks {
     /// A newer configuration.
@@ -76,13 +82,13 @@
     pub(crate) registry: bool,
 }
 
-/// Who goes before whom in reading the platform: the node whose link carries more, because all others of its
-/// failure domain fetch from it.
+/// Rank of a node in the reader election. A faster link ranks first, because all other nodes of the
+/// failure domain fetch from the reader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
-    /// What the node's link carries, in Mbit/s.
+    /// Bandwidth of the node's link, in Mbit/s.
     pub link_mbps: u32,
-    /// The node.
+    /// Identity of the node; the smaller one ranks first among equal links.
     pub node: NodeId,
 }
 
@@ -92,35 +98,36 @@
     }
 }
 
-/// The duty of one node.
+/// The reader election as seen by one node.
 #[derive(Clone, Debug)]
 pub struct Duty {
     me: Rank,
-    /// A node that reads and that this one leaves it to, and when the platform last answered it.
+    /// The reader that this node relies on, and when the platform last answered that reader.
     reader: Option<(Rank, Time)>,
     /// Since when a newer configuration is known to exist.
     lacks_config: Option<Time>,
-    /// Since when changes of the registry are known to exist.
+    /// Since when missing registry changes are known to exist.
     lacks_registry: Option<Time>,
-    /// A peer had too much under way to send this node the configuration.
+    /// A peer was too busy to send the configuration to this node.
     is_refused: bool,
-    /// The last proof that the platform has nothing newer than what was then known here.
+    /// The last freshness confirmation: the platform had nothing newer than the local copy.
     contact: Option<Time>,
     /// The last answer of the platform to this node.
     own_contact: Option<Time>,
-    /// The platform did not answer this node the last time.
+    /// The last call of this node to the platform failed.
     is_failing: bool,
-    /// Since when no node is known that this one leaves it to; in the future while one may still speak up.
+    /// Since when no reader is known that this node relies on; in the future while a reader may
+    /// still announce itself.
     vacant_since: Time,
-    /// How long it then waits for those that precede it.
+    /// Back-off by rank that follows `vacant_since`.
     turn: Duration,
-    /// What the platform has published was read or fetched once.
+    /// The node has read or fetched the published state at least once.
     has_copy: bool,
     next_news: Time,
 }
 
 impl Duty {
-    /// The duty of a node that has a copy and has heard of nobody.
+    /// The election of a node that has a copy and knows of no other reader.
     pub fn new(me: Rank) -> Self {
         Self {
             me,
@@ -138,8 +145,9 @@
         }
     }
 
-    /// The duty of a node that starts at `now` and first waits for a copy from its peers: for longer the less its
-    /// link carries. `spread` of 0 to 1 keeps nodes that are alike from reading all at once.
+    /// The election of a node that starts at `now`. The node first waits for a copy from its peers;
+    /// the slower its link, the longer it waits. `spread`, from 0 to 1, keeps identical nodes from
+    /// reading at the same moment.
     pub fn starting(me: Rank, now: Time, spread: f64) -> Self {
         let bits = FIRST_COPY_BYTES * 8.0;
         let on_link = bits / (f64::from(me.link_mbps.max(1)) * BITS_PER_MBIT);
@@ -148,21 +156,21 @@
         Self { vacant_since: now, turn, has_copy: false, ..Self::new(me) }
     }
 
-    /// Follows how many nodes of the failure domain precede this one.
+    /// Sets the number of nodes in the failure domain that have a better rank.
     pub(crate) fn set_preceding(&mut self, nodes: usize) {
         self.turn = LONGEST_TURN.min(STEP * nodes as u32);
     }
 
-    /// Records the first copy that peers gave: whoever reads the platform in the failure domain has until its next
-    /// news but one to say so.
+    /// Records the first copy from a peer. The current reader of the failure domain gets two
+    /// announcement intervals to announce itself.
     pub(crate) fn copied(&mut self, now: Time) {
         self.has_copy = true;
         self.vacant_since = self.vacant_since.max(now + NEWS_EVERY * 2);
     }
 
-    /// What this node is to read of the platform now.
+    /// Returns what this node has to read from the platform now.
     pub fn reads(&self, now: Time) -> Reads {
-        // One that starts asks other peers until it is its turn.
+        // A starting node asks other peers until its back-off has passed.
         let behind = if self.has_copy { BEHIND } else { BEHIND + self.turn };
         let is_overdue = |since: Option<Time>| since.is_some_and(|it| now.since(it) > behind);
         let is_refused = self.has_copy && self.is_refused && self.lacks_config.is_some();
@@ -175,7 +183,7 @@
         }
     }
 
-    /// Why this node reads what it reads, for logs.
+    /// Reason for the result of `reads`, for logs.
     pub fn why(&self, now: Time) -> &'static str {
         match (self.reads(now), self.reader) {
             (Reads::Nothing, _) => "another node reads, or has its turn first",
@@ -186,7 +194,7 @@
         }
     }
 
-    /// Whether nobody reads that this node would leave it to, and those before it have had their time.
+    /// Whether no reader is known that this node relies on and its back-off has passed.
     fn is_its_turn(&self, now: Time) -> bool {
         match self.reader {
             Some((_, answered)) => now.since(answered) > OLD_PROOF + self.turn,
@@ -194,24 +202,23 @@
         }
     }
 
-    /// Whether what is known here is surely not older than the platform allows.
+    /// Whether the local copy is certainly no older than the platform allows.
     pub fn is_fresh(&self, now: Time) -> bool {
         let is_proven = self.contact.is_some_and(|it| now.since(it) < FRESH_FOR);
         is_proven && self.lacks_config.is_none()
     }
 
-    /// Time since there was proof that the platform has nothing newer than what is known here; since the
-    /// start if there was none.
+    /// Time since the last freshness confirmation, or since the start if there was none.
     pub fn age(&self, now: Time) -> Duration {
         now.since(self.contact.unwrap_or(Time(0)))
     }
 
-    /// For how long a newer configuration has been known to exist that could not be had yet.
+    /// How long a newer configuration has been known to exist without being available here.
     pub fn behind_for(&self, now: Time) -> Duration {
         self.lacks_config.map_or(Duration::ZERO, |it| now.since(it))
     }
 
-    /// Takes in the word of a reader of the same failure domain.
+    /// Processes the status of a reader in the same failure domain.
     pub(crate) fn heard(&mut self, now: Time, from: Rank, word: Word) {
         let answered = match word {
             Word::Lost => return self.lost(now, from),
@@ -223,7 +230,7 @@
         };
         let precedes_known =
             self.reader.is_none_or(|(it, at)| !it.precedes(from) || now.since(at) > OLD_PROOF);
-        // A node that the platform does not answer leaves it to anyone who is answered.
+        // A node that gets no answer from the platform relies on any node that does.
         if self.is_failing || from.precedes(self.me) && precedes_known {
             let known = self.reader.filter(|(it, _)| it.node == from.node);
             self.reader = Some((from, known.map_or(answered, |(_, at)| at.max(answered))));
@@ -237,14 +244,14 @@
         }
     }
 
-    /// Records what is known to exist and could not be had yet.
+    /// Records which updates are known to exist and are missing here.
     pub(crate) fn set_lacks(&mut self, now: Time, it: Lacks) {
         self.lacks_config = it.config.then(|| self.lacks_config.unwrap_or(now));
         self.lacks_registry = it.registry.then(|| self.lacks_registry.unwrap_or(now));
         self.is_refused &= it.config;
     }
 
-    /// Records that a peer has too much under way: what this node lacks it reads itself.
+    /// Records that a busy peer refused a fetch: this node reads the missing configuration itself.
     pub(crate) fn refused(&mut self) {
         self.is_refused = true;
     }
@@ -257,7 +264,8 @@
         self.next_news = now;
     }
 
-    /// Records that the platform had nothing newer than what is known here at this time.
+    /// Records a freshness confirmation: at this time the platform had nothing newer than the local
+    /// copy.
     pub(crate) fn proven(&mut self, at: Time) {
         self.contact = self.contact.max(Some(at));
     }
@@ -267,18 +275,19 @@
         self.own_contact.map_or(Duration::MAX, |it| now.since(it))
     }
 
-    /// Records that the platform did not answer this node; returns whether that is news.
+    /// Records a failed call of this node to the platform; returns whether the call before it
+    /// succeeded.
     pub(crate) fn failed(&mut self) -> bool {
         !std::mem::replace(&mut self.is_failing, true)
     }
 
-    /// Whether this node may tell others that it reads.
+    /// Whether this node may announce itself as reader.
     pub(crate) fn may_tell(&self, now: Time) -> bool {
         let is_proven = self.own_contact.is_some_and(|it| now.since(it) < OWN_PROOF);
         self.reads(now) == Reads::Everything && !self.is_failing && is_proven
     }
 
-    /// Whether it is time to tell the others that this node reads.
+    /// Whether this node has to announce itself as reader now.
     pub(crate) fn news_is_due(&mut self, now: Time) -> bool {
         if !self.may_tell(now) || now < self.next_news {
             return false;
