--- a/crates/fleet/src/edge.rs
+++ b/crates/fleet/src/edge.rs
@@ -1,4 +1,4 @@
-//! The UDP edge: signs and sends frames, receives and checks them, and counts both.
+//! UDP transport: signs and sends frames, receives and checks them, and counts both.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,12 +7,13 @@
 
 use crate::wire::{Frame, Keys, MAX_FRAME_BYTES, WireError};
 
-/// Frames and bytes through the edge. Permits are counted apart: they are a cost of requests.
+/// Numbers of frames and bytes. Frames about slots are counted apart, because their number depends
+/// on the number of requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Bytes of the exchange, sent.
+    /// Bytes of control frames sent.
     pub control_out: u64,
-    /// Bytes of the exchange, received.
+    /// Bytes of control frames received.
     pub control_in: u64,
     /// Frames about slots, sent and received.
     pub permit_frames: u64,
@@ -20,7 +21,7 @@
     pub permit_bytes: u64,
     /// Frames dropped because their length, version, signature or body was wrong.
     pub dropped: u64,
-    /// Frames that a test's fault point has dropped.
+    /// Frames dropped by the fault injection of tests.
     pub cut: u64,
 }
 
@@ -30,7 +31,7 @@
     socket: UdpSocket,
     keys: Keys,
     counts: Counts,
-    /// Addresses that nothing is sent to and nothing is taken from, for failure tests.
+    /// Addresses to which no frames are sent, for failure tests.
     cut: Vec<SocketAddr>,
 }
 
@@ -41,22 +42,23 @@
         Ok(Self { socket, keys, counts: Counts::default(), cut: Vec::new() })
     }
 
-    /// The address that is bound.
+    /// The address of the socket.
     pub fn addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// What has passed so far.
+    /// The counts since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Uses other keys from now on.
+    /// Replaces the keys.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Drops frames to these addresses, as a one-way cut does. For failure tests.
+    /// Drops frames to these addresses, which simulates a network cut in one direction. For failure
+    /// tests.
     pub fn set_cut(&mut self, to: Vec<SocketAddr>) {
         self.cut = to;
     }
@@ -68,7 +70,7 @@
             return 0;
         }
         let Some(buf) = frame.encode(&self.keys) else { return 0 };
-        // A full socket buffer is a loss like any other.
+        // A full socket buffer counts as a normal loss.
         let Ok(n) = self.socket.try_send_to(&buf, to) else { return 0 };
         match frame.message.is_about_requests() {
             true => self.count_permit(n),
@@ -77,12 +79,12 @@
         n
     }
 
-    /// Waits until a datagram may be there.
+    /// Waits until a datagram may be available.
     pub async fn readable(&self) -> io::Result<()> {
         self.socket.readable().await
     }
 
-    /// Receives one frame that passes all checks, or nothing if none is there now.
+    /// Receives the next available frame that passes all checks; returns `None` if there is none.
     pub fn receive(&mut self) -> Option<(SocketAddr, Frame, usize)> {
         let mut buf = [0; MAX_FRAME_BYTES + 1];
         loop {
