--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -1,6 +1,6 @@
-//! The exchange with other nodes: each round tells one random peer what is new, within a budget of
-//! bytes a second that does not depend on the fleet's size. Nodes that read the platform pass its
-//! changes on at once.
+//! Gossip exchange with other nodes. In each round a node sends its news to one random peer, within
+//! a budget of bytes per second that does not depend on the size of the fleet. Nodes that read the
+//! platform forward its changes at once.
 
 mod news;
 mod rejections;
@@ -26,61 +26,62 @@
 pub(crate) use news::CHANGES_PER_FRAME;
 use rejections::Rejections;
 
-/// Time between rounds.
+/// Interval between gossip rounds.
 pub const ROUND: Duration = Duration::from_millis(1_000);
-/// A node that has heard of no other for this long knows those there are.
+/// A node that has discovered no other node for this long knows all of them.
 const FOUND_ALL_AFTER: Duration = Duration::from_millis(300);
-/// How long a node counts as started lately.
+/// A node counts as recently started for this long.
 const STARTED_LATELY: Duration = Duration::from_secs(5);
-/// Verdicts told of in one round.
+/// Maximum number of verdicts in one gossip message.
 const VERDICTS_PER_FRAME: usize = 12;
-/// Most nodes, verdicts and rejections in one frame.
+/// Maximum number of nodes, verdicts and rejections in one frame.
 #[cfg(test)]
 pub(crate) const MAX_GOSSIP: (usize, usize, usize) =
     (NODES_PER_FRAME, VERDICTS_PER_FRAME, rejections::REJECTIONS_PER_FRAME);
-/// Burst that the budget allows, in bytes: finding 40 nodes takes about 25 KB.
+/// Burst size of the budget in bytes: the discovery of 40 nodes takes about 25 KB.
 const BURST: f64 = 40_000.0;
-/// A verdict that is valid for this much longer than the known one is news; less is only delay.
+/// A verdict is new if it is valid for this much longer than the known one; a smaller difference is
+/// only transmission delay.
 const VERDICT_SLACK: Duration = Duration::from_millis(100);
 
-/// Who this node is.
+/// Identity and resources of the local node.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// Address of its exchange.
+    /// Address of the node's exchange.
     pub addr: SocketAddr,
     /// Hash of its failure domain.
     pub failure_domain: u64,
     /// Start of the process in milliseconds since 1970.
     pub incarnation: u64,
-    /// What its VM has.
+    /// Resources of its VM.
     pub capacity: Capacity,
 }
 
-/// What the state machine wants done.
+/// An action that the caller of the state machine has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a message to an address.
     Send(SocketAddr, Message),
-    /// Fetch what a peer knows of the platform.
+    /// Fetch from a peer what it knows of the platform.
     Fetch(SocketAddr),
-    /// Endpoints have changed.
+    /// The set of endpoints has changed.
     Endpoints,
-    /// An endpoint is used last by the peer that dispatches it.
+    /// The peer that dispatches an endpoint uses it last or has ejected it.
     Verdict(Verdict),
-    /// Endpoints end under a request, as a peer has found.
+    /// A peer has found a request that crashes endpoints.
     Rejection(Rejection),
 }
 
-/// Why a fetch brought nothing.
+/// Why a fetch failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchFailure {
-    /// The peer has too much under way to others.
+    /// The peer is too busy sending to others.
     Busy,
-    /// It cannot be reached, or what it sends cannot be read.
+    /// The peer cannot be reached, or its answer cannot be read.
     Lost,
 }
 
-/// The exchange of one node.
+/// State of one node's exchange.
 #[derive(Debug)]
 pub struct Exchange {
     me: Identity,
@@ -94,34 +95,34 @@
     verdicts: FxHashMap<SocketAddr, (Verdict, Time)>,
     rejections: Rejections,
     started: Time,
-    /// When a node was last heard of for the first time.
+    /// When a node was last discovered.
     found: Time,
-    /// A node was ready when this one first heard of it.
+    /// One of the discovered nodes was ready at that time.
     found_ready: bool,
     next_round: Time,
     budget: f64,
     refilled: Time,
-    /// A fetch is under way; there is never a second one beside it.
+    /// A fetch is in progress; there is never a second one beside it.
     is_fetching: bool,
     /// The last fetch did not reach its peer.
     is_unreached: bool,
-    /// The newest that peers have told of, as far as it is not known here.
+    /// The newest versions reported by peers, as far as they are missing here.
     told: Facts,
-    /// A version that is not known here, and when a reader had proof that it is the newest.
+    /// A configuration version that is missing here, and when a reader confirmed it as the newest.
     unproven: Option<(u64, Time)>,
     /// The platform's newest configuration cannot be read here.
     is_unreadable: bool,
-    /// The version that the own failure domain was last told of.
+    /// The version last sent to the own failure domain.
     told_others: u64,
-    /// The configuration in force as it travels, with its version; encoded when it is first fetched.
+    /// The encoded configuration in force, with its version; encoded at the first fetch.
     encoded: Option<(u64, EncodedDocument)>,
-    /// Rounds put off because the budget was used up.
+    /// Number of rounds skipped because the budget was used up.
     pub delayed: u64,
 }
 
 impl Exchange {
-    /// The exchange of a node that has just started. `seeds` are told of this node until others are
-    /// known.
+    /// Creates the exchange of a node that starts now. The node contacts the `seeds` until it knows
+    /// other nodes.
     pub fn new(now: Time, me: Identity, seeds: &[SocketAddr], rng: &mut impl Rng) -> Self {
         let id = node_id(me.addr);
         let rank = Rank { link_mbps: me.capacity.link_mbps, node: id };
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Follows a change of the seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.iter().copied().filter(|it| *it != self.me.addr).collect();
     }
@@ -163,12 +164,12 @@
         self.id
     }
 
-    /// What this node's VM has.
+    /// Resources of this node's VM.
     pub fn capacity(&self) -> Capacity {
         self.me.capacity
     }
 
-    /// Other nodes of the own failure domain.
+    /// Number of other nodes in the own failure domain.
     pub fn near(&self) -> usize {
         self.near_members().count()
     }
@@ -178,42 +179,43 @@
         self.members.iter().map(|(_, it)| it).filter(move |it| it.info.failure_domain == own)
     }
 
-    /// The known nodes, this one not included.
+    /// The known nodes, without this one.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The copy of what the platform has published.
+    /// The local copy of the state published by the platform.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The same, to take in a configuration that is valid.
+    /// The same copy, to put a validated configuration in force.
     pub fn replica_mut(&mut self) -> &mut Replica {
         &mut self.replica
     }
 
-    /// Whether this node reads the platform.
+    /// The state of the reader election.
     pub fn duty(&self) -> &Duty {
         &self.duty
     }
 
-    /// The newest that is known to exist, here or elsewhere.
+    /// The newest versions known to exist, here or elsewhere.
     pub fn told(&self) -> Facts {
         self.told.max_of(self.replica.facts())
     }
 
-    /// Whether a fetch from a peer is under way.
+    /// Whether a fetch from a peer is in progress.
     pub fn is_fetching(&self) -> bool {
         self.is_fetching
     }
 
-    /// What this node is doing.
+    /// Current phase of this node.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Tells all peers at once what this node is doing: whom they ask for slots depends on it.
+    /// Changes the phase and notifies all peers at once, because they choose dispatching nodes by
+    /// phase.
     pub fn set_phase(&mut self, phase: Phase) -> Vec<Effect> {
         if phase == self.phase {
             return Vec::new();
@@ -225,23 +227,23 @@
         self.members.iter().map(|(_, it)| tell(it.info.addr)).collect()
     }
 
-    /// Whether this node has started among others that served already; see `Members::serving`.
+    /// Whether this node recently joined a fleet that was already serving; see `Members::serving`.
     pub fn is_newcomer(&self, now: Time) -> bool {
         self.found_ready && now.since(self.started) < NEWCOMER_FOR
     }
 
-    /// Spreads a verdict of this node.
+    /// Adds a verdict of this node to the gossip.
     pub fn tell(&mut self, now: Time, verdict: Verdict) {
         let until = now + Duration::from_millis(verdict.valid_ms.into());
         self.verdicts.insert(verdict.endpoint, (verdict, until));
     }
 
-    /// The verdicts that this node believes and passes on.
+    /// The verdicts that are valid here and passed on to peers.
     pub fn verdicts(&self) -> impl Iterator<Item = &Verdict> {
         self.verdicts.values().map(|(it, _)| it)
     }
 
-    /// Takes in a message from a peer.
+    /// Processes a message from a peer.
     pub fn receive(
         &mut self,
         now: Time,
@@ -263,13 +265,13 @@
         }
     }
 
-    /// Whether rounds follow each other quickly, because this node still finds others.
+    /// Whether rounds are frequent because this node is still discovering others.
     pub fn is_finding(&self, now: Time) -> bool {
         let is_new = now.since(self.started) < STARTED_LATELY;
         is_new && now.since(self.found) < FOUND_ALL_AFTER
     }
 
-    /// Moves what time alone moves.
+    /// Runs the timers: registry expiry, reader announcements and gossip rounds.
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.replica.tick(now) {
@@ -289,13 +291,14 @@
         effects
     }
 
-    /// Accounts for bytes of rounds that were sent or received. News are not counted: those of a start would use up the
-    /// budget, and without rounds nodes do not know each other.
+    /// Charges sent or received bytes of gossip rounds to the budget. Platform updates are not
+    /// charged: those of a start would use up the budget, and without rounds nodes do not discover
+    /// each other.
     pub fn spend(&mut self, bytes: usize) {
         self.budget -= bytes as f64;
     }
 
-    /// A frame from this node.
+    /// Wraps a message into a frame of this node.
     pub fn frame(&self, message: Message) -> Frame {
         Frame { from: self.id, message }
     }
@@ -327,7 +330,7 @@
         effects
     }
 
-    /// Takes in facts about a node; returns whether it was not known before.
+    /// Records the state of a node; returns whether the node was unknown before.
     fn learn(&mut self, now: Time, info: NodeInfo) -> bool {
         let id = node_id(info.addr);
         if id == self.id {
@@ -342,7 +345,7 @@
         is_new
     }
 
-    /// What this node tells of itself.
+    /// The state of this node as sent to others.
     pub fn info(&self) -> NodeInfo {
         NodeInfo {
             addr: self.me.addr,
