--- a/crates/fleet/src/exchange/news.rs
+++ b/crates/fleet/src/exchange/news.rs
@@ -1,4 +1,4 @@
-//! News of the platform: what this node has read or fetched, and what readers tell.
+//! Distribution of platform updates: what this node has read or fetched, and what readers announce.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,22 +16,24 @@
 
 /// Registry changes in one frame.
 pub(crate) const CHANGES_PER_FRAME: usize = 6;
-/// Frames of changes that follow each other at once; of more the peers fetch what they lack. Sixteen frames of 1 KB to
-/// each of ninety nodes take 60 ms of a link of 200 Mbit/s, by their lengths.
+/// Maximum number of frames sent back to back for one update; of a larger update the peers fetch
+/// what they miss. Sixteen frames of 1 KB to each of ninety nodes occupy a link of 200 Mbit/s for
+/// 60 ms, computed from their lengths.
 const MAX_FRAMES: usize = 16;
 
 impl Exchange {
-    /// Takes in what this node has read from the platform, and passes it on.
+    /// Applies what this node has read from the platform, and forwards the changes to its failure
+    /// domain.
     pub fn read(&mut self, now: Time, mut news: Published) -> Vec<Effect> {
         self.duty.answered(now);
         let before = self.replica.facts();
-        // What this node reads follows what it has read before: in between nothing has changed.
+        // A read follows the previous read of this node without a gap.
         news.after = news.after.map(|_| before.registry);
         let mut effects = Vec::new();
         if self.replica.update(now, &news) {
             effects.push(Effect::Endpoints);
         }
-        // The platform's word counts for more than what peers told.
+        // An answer of the platform takes precedence over reports of peers.
         self.told = self.replica.facts();
         self.note_lacks(now);
         self.is_unreadable = match &news.document {
@@ -45,7 +47,7 @@
         if has_news && self.duty.reads(now) == Reads::Everything {
             let changes = match news.after {
                 Some(_) => news.endpoints,
-                // What is new in a list of everything, where that can be told.
+                // A full list is reduced to its new entries, where the replica knows them.
                 None => self.replica.since(before.registry).map_or(Vec::new(), |it| it.endpoints),
             };
             effects.extend(self.tell_news(now, before.registry, changes, before.version));
@@ -53,7 +55,7 @@
         effects
     }
 
-    /// Records that the platform cannot be read, and lets others step in at once.
+    /// Records that the platform did not answer, and lets other nodes take over at once.
     pub fn read_failed(&mut self) -> Vec<Effect> {
         if !self.duty.failed() {
             return Vec::new();
@@ -61,16 +63,16 @@
         self.to_own_domain(Message::News(self.news(LastAnswer::Lost)))
     }
 
-    /// Records that this node has read the configuration alone, and put it in force if it is newer.
+    /// Records that this node has read the configuration alone and put it in force if it is newer.
     pub fn configuration_read(&mut self, now: Time) {
-        // The platform's word counts for more than what peers told.
+        // An answer of the platform takes precedence over reports of peers.
         self.told.version = self.replica.facts().version;
         self.is_unreadable = false;
         self.duty.proven(now);
         self.note_lacks(now);
     }
 
-    /// Takes in what a peer knew of the platform.
+    /// Applies the answer of a peer to a fetch.
     pub fn fetched(&mut self, now: Time, news: &Published, members: Vec<NodeInfo>) -> Vec<Effect> {
         self.is_fetching = false;
         self.is_unreached = false;
@@ -85,7 +87,7 @@
         effects
     }
 
-    /// Records that a fetch brought nothing.
+    /// Records that a fetch failed.
     pub fn fetch_failed(&mut self, why: FetchFailure) {
         self.is_fetching = false;
         self.is_unreached = why == FetchFailure::Lost;
@@ -94,9 +96,10 @@
         }
     }
 
-    /// What is known here beyond the copy of a peer that fetches it. One that has no copy has just started and is
-    /// also told of the nodes: by rounds alone it would know most of 443 after some seconds, and until then nodes
-    /// differ in whom they ask for slots.
+    /// Collects what is known here beyond the copy of `asker`, a peer that fetches. A peer without
+    /// a copy has just started and also gets the list of nodes: by gossip rounds alone the peer
+    /// would need several seconds to discover most of 443 nodes, and until then nodes disagree on
+    /// the node to ask for slots.
     pub fn bundle(&mut self, now: Time, asker: NodeInfo) -> (Bundle, Vec<Effect>) {
         let effects = self.learn_all(now, vec![asker]);
         let encoded = &mut self.encoded;
@@ -119,7 +122,8 @@
         news: News,
     ) -> Vec<Effect> {
         let mut effects = self.learn_all(now, vec![news.sender]);
-        // A reader that has not noticed yet that the platform came back from an older copy proves nothing.
+        // A reader that has not yet noticed that the platform came back from an older copy confirms
+        // nothing.
         if news.facts.registry.era < self.replica.facts().registry.era {
             return effects;
         }
@@ -132,7 +136,7 @@
             unreadable: None,
             endpoints: news.changes,
         };
-        // Without changes there is nothing that would make this copy complete up to a position.
+        // Without changes there is no position up to which the update would complete this copy.
         if latest.is_known() && self.replica.update(now, &update) {
             effects.push(Effect::Endpoints);
         }
@@ -147,13 +151,13 @@
         effects
     }
 
-    /// What a reader's news prove for the copy of this node.
+    /// Derives from a reader's announcement what it confirms about the local copy.
     fn word(&mut self, now: Time, last_answer: LastAnswer, version: u64) -> Word {
         let age = |ms: u32| Duration::from_millis(ms.into());
         match last_answer {
             LastAnswer::Lost => Word::Lost,
             LastAnswer::Unreadable { age_ms } => Word::Other(now - age(age_ms)),
-            // Before this process started; its time does not go that far back.
+            // The answer predates this process, and its clock cannot represent the time.
             LastAnswer::Read { age_ms } if age(age_ms) > now.since(Time(0)) => Word::Other(Time(0)),
             LastAnswer::Read { age_ms } => {
                 let at = now - age(age_ms);
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Tells those of the own failure domain of changes after `after`, in a chain of frames.
+    /// Sends the changes after `after` to the own failure domain, as a chain of frames.
     pub(super) fn tell_news(
         &mut self,
         now: Time,
@@ -200,7 +204,7 @@
         effects
     }
 
-    /// What the platform has last said to this node.
+    /// The last answer of the platform to this node.
     fn last_answer(&self, now: Time) -> LastAnswer {
         let age_ms = self.duty.since_answer(now).as_millis().try_into().unwrap_or(u32::MAX);
         match self.is_unreadable {
@@ -209,14 +213,15 @@
         }
     }
 
-    /// News without changes.
+    /// An update without changes.
     fn news(&self, last_answer: LastAnswer) -> News {
         let facts = self.replica.facts();
         News { sender: self.info(), facts, after: facts.registry, changes: Vec::new(), last_answer }
     }
 
-    /// Takes in facts about nodes. Those of the own failure domain that were not known are told who reads the
-    /// platform, if it is this node: they would wait for the next news, or read it too.
+    /// Records the state of nodes. If this node is the reader, it announces itself to newly
+    /// discovered nodes of its failure domain, which would otherwise wait for the next announcement
+    /// or read the platform too.
     pub(super) fn learn_all(&mut self, now: Time, mut nodes: Vec<NodeInfo>) -> Vec<Effect> {
         nodes.retain(|it| self.learn(now, *it));
         if !self.duty.may_tell(now) {
@@ -233,9 +238,10 @@
         near.map(|it| Effect::Send(it.info.addr, message.clone())).collect()
     }
 
-    /// Fetches what a member has said that it knows: a newer configuration always, endpoints only if
-    /// neither the platform nor a reader has been heard lately. The member is chosen at random among those of the
-    /// own failure domain, because some of them may be cut off from this node.
+    /// Starts a fetch from a member that has newer versions: a newer configuration always,
+    /// endpoints only if no freshness confirmation of the platform or of a reader has arrived
+    /// recently. The member is chosen at random within the own failure domain, because some members
+    /// may be unreachable from this node.
     pub(super) fn fetch_from_members(
         &mut self,
         now: Time,
@@ -248,8 +254,9 @@
             |it: &Facts| it.version > mine.version || is_cut_off && it.registry > mine.registry;
         let newer: Vec<NodeInfo> =
             self.members.iter().map(|(_, it)| it.info).filter(|it| is_newer(&it.facts)).collect();
-        // What passes between failure domains has a price. A peer that cannot be reached may be one of many: then
-        // the sender is asked, which can reach this node.
+        // Traffic between failure domains costs money. If the last peer could not be reached,
+        // others may be unreachable too; then the sender is asked, because its message has just
+        // arrived here.
         let own = self.me.failure_domain;
         let preferred = newer.iter().filter(|it| match self.is_unreached {
             true => it.addr == sender,
@@ -261,7 +268,8 @@
         self.fetch(addr)
     }
 
-    /// One at a time: begun again while the first still ran, fetches multiplied what a full link had to carry.
+    /// Starts a fetch unless one is in progress. Fetches that were started again while the first
+    /// one still ran multiplied the load of a full link.
     pub(super) fn fetch(&mut self, addr: SocketAddr) -> Option<Effect> {
         if std::mem::replace(&mut self.is_fetching, true) {
             return None;
