--- a/crates/fleet/src/exchange/rejections.rs
+++ b/crates/fleet/src/exchange/rejections.rs
@@ -1,4 +1,5 @@
-//! Requests that endpoints end under: every node knows them, whoever hands out slots next.
+//! Distribution of request rejections: every node knows the requests that crash endpoints, so that
+//! a rejection holds whichever node hands out slots next.
 
 use std::time::Duration;
 
@@ -10,20 +11,21 @@
 use super::{Effect, Exchange};
 use crate::wire::{Gossip, Message};
 
-/// Rejections told of in one round.
+/// Maximum number of rejections in one gossip message.
 pub(crate) const REJECTIONS_PER_FRAME: usize = 4;
-/// Rejections that are passed on; of more those that end first are left out. Whoever has rejected a request still
-/// knows it.
+/// Maximum number of rejections that a node passes on; beyond it the one that expires first is
+/// dropped. The node that issued a rejection still applies it.
 const MAX_REJECTIONS: usize = 256;
-/// One that is valid for this much longer than the known one is news; less is only delay.
+/// A rejection is new if it is valid for this much longer than the known one; a smaller difference
+/// is only transmission delay.
 const SLACK: Duration = Duration::from_secs(5);
 
-/// The rejections that a node passes on, with their ends.
+/// The rejections that a node passes on, with their expiry times.
 #[derive(Debug, Default)]
 pub(super) struct Rejections(FxHashMap<RequestKey, Time>);
 
 impl Rejections {
-    /// Takes one in; returns whether it is news.
+    /// Records a rejection; returns whether it is new.
     fn learn(&mut self, now: Time, it: Rejection) -> bool {
         let until = now + Duration::from_millis(it.valid_ms.into());
         let is_news = self.0.get(&it.request).is_none_or(|end| until > *end + SLACK);
@@ -57,8 +59,9 @@
 }
 
 impl Exchange {
-    /// Tells all peers at once of requests that this node has come to reject: by rounds alone some would send them
-    /// on for seconds. Nodes that miss it, or start later, hear of them in rounds.
+    /// Sends new rejections of this node to all peers at once: by gossip rounds alone some nodes
+    /// would go on forwarding the requests for seconds. Nodes that miss the message or start later
+    /// receive the rejections in rounds.
     pub fn tell_rejections(&mut self, now: Time, mut all: Vec<Rejection>) -> Vec<Effect> {
         all.retain(|it| self.rejections.learn(now, *it));
         let mut effects = Vec::new();
@@ -70,7 +73,8 @@
         effects
     }
 
-    /// For how much longer a request is rejected, at whichever service: a route may be moved to one that is new here.
+    /// For how much longer a request is rejected. The answer holds for every service, because a
+    /// route may be moved to a service that is new here.
     pub fn rejected(&self, now: Time, request: RequestKey) -> Option<Duration> {
         self.rejections.left(now, request)
     }
