--- a/crates/fleet/src/exchange/rounds.rs
+++ b/crates/fleet/src/exchange/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds: what is told to whom, and how often.
+//! Gossip rounds: recipients, contents and frequency.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,17 +13,18 @@
 use crate::members::Member;
 use crate::wire::{Gossip, Message, NODES_PER_FRAME, NodeInfo, Phase, Verdict};
 
-/// Time between rounds of a node that has started lately.
+/// Interval between rounds of a recently started node.
 const FIRST_ROUND: Duration = Duration::from_millis(200);
-/// The same while it still hears of nodes that it did not know. When a whole fleet starts anew, those
-/// that know few others ask many different nodes for slots, and each of these learns of every sick
-/// endpoint by itself.
+/// Interval between rounds while a recently started node still discovers others. When a whole fleet
+/// restarts, nodes that know few others ask many different nodes for slots, and each of these has
+/// to detect every unhealthy endpoint by itself.
 const FINDING_ROUND: Duration = Duration::from_millis(50);
-/// One round of this many goes to another failure domain, whose traffic has a price.
+/// One in this many rounds goes to another failure domain; traffic between failure domains costs
+/// money.
 const FAR_ROUND: u32 = 4;
-/// Nodes that were not heard of for this long are forgotten.
+/// Nodes from which nothing was received for this long are forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Bytes a second, in and out, that the exchange may use.
+/// Budget of the exchange in bytes per second, sent and received.
 const BUDGET: f64 = 5_000.0;
 
 impl Exchange {
@@ -48,7 +49,8 @@
         Some(Effect::Send(to, Message::Gossip(self.gossip(now, true, rng))))
     }
 
-    /// A node that has no copy yet waits for its turn among those that start.
+    /// Updates the number of nodes with a better rank. A node without a copy keeps its initial
+    /// back-off instead.
     fn follow_precedence(&mut self) {
         if !self.replica.facts().registry.is_known() {
             return;
@@ -70,8 +72,9 @@
         Gossip { nodes, verdicts: self.some_verdicts(now, rng), rejections, wants_reply }
     }
 
-    /// Mostly a node of the own failure domain, but any while nobody there tells what the platform has. A
-    /// node that is new also asks the seeds, which may be stale, and so does one that knows nobody.
+    /// Chooses the peer of a round: usually a node of the own failure domain, but any node while no
+    /// freshness confirmation arrives from there. A recently started node also considers the seeds,
+    /// which may be stale, and so does a node that knows no other.
     fn peer(&self, now: Time, is_new: bool, rng: &mut impl Rng) -> Option<SocketAddr> {
         let far = is_new || !self.duty.is_fresh(now) || rng.random_ratio(1, FAR_ROUND);
         let own = self.me.failure_domain;
