--- a/crates/fleet/src/fetch.rs
+++ b/crates/fleet/src/fetch.rs
@@ -1,5 +1,5 @@
-//! The TCP edge: fetches from a peer what it knows of the platform, the configuration and the
-//! endpoints. Messages are signed like datagrams, so that strangers learn nothing.
+//! TCP transport: fetches from a peer what it knows of the platform, the configuration and the
+//! endpoints. Messages are signed like datagrams, so that nodes without the key learn nothing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,75 +17,76 @@
 use crate::bundle::Bundle;
 use crate::wire::{Keys, NodeInfo, TAG_BYTES};
 
-/// Largest message, in bytes: a whole configuration with room to grow.
+/// Largest answer in bytes: a complete configuration with space to grow.
 const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
-/// Largest request, in bytes.
+/// Largest request in bytes.
 const MAX_REQUEST_BYTES: usize = 1024;
-/// Time for one fetch.
+/// Time limit of one fetch.
 const LIMIT: Duration = Duration::from_secs(2);
-/// A peer that sends nothing for this long is given up. It answers at once, if only that it is busy.
+/// A peer that sends nothing for this long is given up. A peer answers at once, at least that it is
+/// busy.
 const SILENCE: Duration = Duration::from_millis(400);
-/// Connections served at once; how many of them are sent something is for the backlog to say.
+/// Maximum number of concurrent connections; the backlog decides how many of them get an answer.
 const MAX_SERVED: usize = 64;
 
-/// What the peer answers.
+/// Answer of the peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum FetchAnswer {
-    /// What the asker lacks.
+    /// What the asking node misses.
     Bundle(Bundle),
-    /// It has too much under way to others.
+    /// The peer is too busy sending to others.
     Busy,
 }
 
-/// Why a fetch failed.
+/// Reason for which a fetch failed.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
     /// The connection failed.
     #[error("the peer cannot be reached ({0}): check that TCP between VMs passes")]
     Io(#[from] io::Error),
-    /// It fell silent.
+    /// The peer stopped sending.
     #[error("the peer fell silent: another one will be asked")]
     Timeout,
-    /// It sends to others all that its link carries.
+    /// The link of the peer is busy with answers to others.
     #[error("the peer is busy serving others: the platform is read instead")]
     Busy,
-    /// The answer is not signed with the fleet's key, or cannot be read.
+    /// The answer is not signed with the fleet's key or cannot be decoded.
     #[error("the peer's answer cannot be trusted: check that all nodes hold the same key")]
     Untrusted,
 }
 
-/// What a fetch brought.
+/// Result of a fetch.
 #[derive(Clone, Debug)]
 pub struct Fetched {
     /// What the peer knows.
     pub bundle: Bundle,
-    /// Its length in bytes.
+    /// Length of the answer in bytes.
     pub bytes: usize,
 }
 
-/// Something was sent to a peer that fetched it.
+/// Describes a fetch that this node has served.
 #[derive(Clone, Copy, Debug)]
 pub struct ServedFetch {
-    /// The peer.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// Bytes of the answer.
+    /// Length of the answer in bytes.
     pub bytes: usize,
-    /// How it ended.
+    /// How the fetch ended.
     pub ending: ServedEnding,
-    /// Bytes under way to others when it ended.
+    /// Bytes in flight to other peers when it ended.
     pub under_way: usize,
-    /// From the connection to its end.
+    /// Time from the connection to its end.
     pub took: Duration,
 }
 
-/// How a fetch that was served ended.
+/// How a served fetch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServedEnding {
-    /// The asker has all of it.
+    /// The asking node has received the complete answer.
     Whole,
-    /// The asker was told that too much is under way.
+    /// The asking node was refused because too many bytes are in flight.
     Busy,
-    /// It broke off.
+    /// The connection broke off.
     Broken,
 }
 
@@ -100,7 +101,7 @@
     }
 }
 
-/// Fetches what the peer at `addr` knows beyond the copy of `asker`, which is this node.
+/// Fetches what the peer at `addr` knows beyond the copy of `asker`, the local node.
 pub async fn fetch(addr: SocketAddr, keys: &Keys, asker: NodeInfo) -> Result<Fetched, FetchError> {
     let exchange = async {
         let mut stream = in_time(async { Ok(TcpStream::connect(addr).await?) }).await?;
@@ -114,8 +115,8 @@
     timeout(LIMIT, exchange).await.map_err(|_| FetchError::Timeout)?
 }
 
-/// Serves fetches for ever, as many as `backlog` admits. `bundle` gives what is known now beyond the
-/// asker's copy; `served` is told of each fetch that was answered.
+/// Serves fetches until its task is dropped, as many as `backlog` admits. `bundle` returns what is
+/// known beyond the copy of the asking node; `served` is called with every fetch that has ended.
 pub async fn serve_fetches<Fut>(
     listener: TcpListener,
     keys: Keys,
@@ -133,7 +134,7 @@
         let (bundle, served) = (bundle.clone(), served.clone());
         tokio::spawn(async move {
             let since = Instant::now();
-            // The asker notices a fetch that fails and asks elsewhere.
+            // The asking node notices a failed fetch and asks another peer.
             let ended = timeout(LIMIT, answer(stream, &keys, &backlog, bundle)).await;
             let (ending, bytes) = match ended {
                 Ok(Ok(it)) => it,
@@ -159,7 +160,8 @@
         return Ok((ServedEnding::Busy, 0));
     };
     write(&mut stream, keys, &body).await?;
-    // What is written still waits for the link; the asker closes when it has all of it.
+    // Written bytes may still wait for the link; the asking node closes the connection when it has
+    // received all of them.
     let _ = stream.read(&mut [0]).await;
     Ok((ServedEnding::Whole, body.len()))
 }
@@ -185,7 +187,7 @@
     if n <= TAG_BYTES || n > max {
         return Err(FetchError::Untrusted);
     }
-    // The buffer grows with what arrives, so a stranger's length reserves no memory.
+    // The buffer grows with the received bytes, so a forged length reserves no memory.
     let mut buf = Vec::new();
     let mut rest = stream.take(n as u64);
     while in_time(async { Ok(rest.read_buf(&mut buf).await?) }).await? > 0 {}
