--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,8 @@
-//! The other entry VMs: who they are, which configuration they hold, and the exchange with them.
+//! The other entry VMs of the fleet: their identities, the versions that they hold, and the
+//! exchange with them.
 //!
-//! The state machines are free of I/O; `edge` and `fetch` are the thin socket edges. This crate must
-//! not know HTTP, requests of callers, or what a configuration means.
+//! The state machines are free of I/O; `edge` and `fetch` are the thin socket layers. This crate
+//! must not depend on HTTP, on requests of callers, or on the meaning of a configuration.
 
 mod allowances;
 mod backlog;
