--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,5 +1,5 @@
-//! The nodes that this one has heard of. "Not heard of lately" is never taken for "dead" by
-//! anything that must always hold.
+//! The other known nodes. No guarantee depends on the assumption that a node is dead because
+//! nothing was received from it for a while.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 
 use crate::wire::{NODES_PER_FRAME, NodeInfo, Phase};
 
-/// A node that was not heard of for this many times the usual interval between news of it is not
-/// asked to dispatch. Generous, because nodes that differ here ask different dispatchers; one that
-/// is really gone is passed over by those that it does not answer.
+/// A node without news for this many times the usual interval is not asked to dispatch. The value
+/// is generous, because nodes that disagree here ask different dispatching nodes; a node that is
+/// really gone is passed over by the nodes that get no answer from it.
 const QUIET_INTERVALS: u32 = 5;
-/// A node that starts among others knows enough of the endpoints after this: its evidence would
-/// otherwise start anew at every restart of a dispatching node.
+/// A node that joins a serving fleet has enough observations of the endpoints after this time.
+/// Without it, every restart of a dispatching node would reset the collected observations.
 pub const NEWCOMER_FOR: Duration = Duration::from_secs(6);
-/// Rounds without news that are never too many.
+/// A node is never considered quiet before this many rounds without news.
 const MIN_QUIET_ROUNDS: u32 = 10;
 
-/// One node.
+/// A known node.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// Its latest facts.
+    /// Its latest known state.
     pub info: NodeInfo,
-    /// When they were learnt.
+    /// When that state was received.
     pub heard: Time,
-    /// It started while others served already: until then it is not asked to dispatch, because it
-    /// knows nothing of the endpoints.
+    /// Until then a node that joined a serving fleet is not asked to dispatch, because it has no
+    /// observations of the endpoints.
     newcomer_until: Time,
 }
 
-/// The known nodes.
+/// The known nodes, without the local one.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     by_id: FxHashMap<NodeId, Member>,
@@ -42,7 +42,7 @@
 }
 
 impl Members {
-    /// Takes in facts; returns whether they are news.
+    /// Records the state of a node; returns whether it was newer than the known one.
     pub fn learn(&mut self, now: Time, info: NodeInfo) -> bool {
         let id = node_id(info.addr);
         let known = self.by_id.get(&id).copied();
@@ -60,7 +60,7 @@
         true
     }
 
-    /// Whether any node but this one is ready.
+    /// Whether any node other than `but` is ready.
     fn any_ready(&self, but: NodeId) -> bool {
         self.iter().any(|(id, it)| id != but && it.info.phase == Phase::Ready)
     }
@@ -85,9 +85,9 @@
         self.by_id.is_empty()
     }
 
-    /// Nodes that serve, were heard of lately and may be asked to dispatch: newcomers are not. When a
-    /// whole fleet starts anew there are no newcomers in it, so that nodes which find each other agree
-    /// from the first moment on.
+    /// The nodes that serve, were seen recently and may be asked to dispatch; recently joined nodes
+    /// may not. After a restart of the whole fleet no node counts as recently joined, so nodes that
+    /// discover each other agree from the beginning.
     pub fn serving(
         &self,
         now: Time,
@@ -100,7 +100,7 @@
             .filter(move |(_, it)| now >= it.newcomer_until && now.since(it.heard) < quiet)
     }
 
-    /// Drops nodes that were not heard of for `age`.
+    /// Drops nodes from which nothing was received for `age`.
     pub fn expire(&mut self, now: Time, age: Duration) {
         self.by_id.retain(|_, it| now.since(it.heard) < age);
     }
