--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -1,8 +1,8 @@
-//! The asking side of dispatch: finds the node that hands out a service's slots, asks it, and falls
-//! back to picking for itself when nobody answers.
+//! Asking side of dispatch: finds the node that hands out the slots of a service, asks it, and
+//! picks an endpoint locally when no node answers.
 //!
-//! For each service rendezvous hashing names one dispatching node. A node that does not answer is
-//! passed over for a while and its successor is asked.
+//! For each service, rendezvous hashing names one dispatching node. A node that does not answer is
+//! passed over for a while, and its successor is asked.
 
 use std::time::Duration;
 
@@ -11,63 +11,64 @@
 
 use crate::wire::PermitMessage;
 
-/// How long a node that did not answer is passed over; it doubles while the node stays silent.
+/// How long a node that did not answer is passed over at first; the time doubles while the node
+/// stays silent.
 const PASS_OVER: Duration = Duration::from_secs(1);
-/// Longest such time.
+/// Upper bound of that time.
 const MAX_PASS_OVER: Duration = Duration::from_secs(8);
-/// Asks without an answer after which a node is passed over. One may be lost, or its answer, on a link that is full with
-/// an answer to a caller; the successor knows nothing of the slots in use.
+/// Unanswered asks after which a node is passed over. A single ask or its answer may be lost on a
+/// link that is full with an answer to a caller, and the successor does not know the slots in use.
 const ASKS_IN_VAIN: u32 = 3;
-/// Silent nodes after which a node picks for itself.
+/// Silent nodes after which a node picks endpoints locally.
 const MAX_SILENT: u32 = 2;
-/// A queued ask is repeated after this, because its grant or the queue itself may be lost.
+/// A queued ask is repeated after this time, because the grant or the queue itself may be lost.
 const ASK_AGAIN: Duration = Duration::from_millis(250);
 
-/// How long a grant is remembered. An ask that was said more than once is answered as often, with the same slot; the later
-/// answers must not give it back under the request that uses it.
+/// How long a grant is remembered. A repeated ask is answered repeatedly with the same slot; the
+/// later answers must not release the slot while the request uses it.
 const REMEMBER_GRANT: Duration = Duration::from_secs(5);
 
-/// Who hands out a slot.
+/// The dispatcher that hands out a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Place {
-    /// This node, for itself alone.
+    /// Local dispatcher of this node, which picks for this node alone.
     Direct,
-    /// This node, for the whole fleet.
+    /// Dispatcher of this node that serves the whole fleet.
     Own,
-    /// Another node.
+    /// Dispatcher of another node.
     Peer(NodeId),
 }
 
-/// A slot that is wished for.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub struct Wish {
-    /// The ask.
+    /// The ask to send.
     pub ask: Ask,
     /// Hash of the service's name.
     pub service: u64,
-    /// When to give up.
+    /// Time after which the request is refused.
     pub deadline: Time,
 }
 
-/// What the client wants done.
+/// An action that the caller of the client has to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Ask one of this node's own dispatchers and pass its reply to `reply`.
+    /// Ask a dispatcher of this node and pass its answer to `reply`.
     AskHere(Place, u64, Ask),
     /// Send a message.
     Send(NodeId, PermitMessage),
-    /// A wish is settled.
+    /// Complete a permit request.
     Settle(PermitId, Settlement),
 }
 
-/// How a wish ended.
+/// Outcome of a permit request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Settlement {
-    /// A slot, and who handed it out.
+    /// A slot, and the dispatcher that granted it.
     Granted(Grant, Place),
-    /// None in time.
+    /// No slot in time; contains the delay for a retry.
     Refused(Duration),
-    /// None, because endpoints end under the request, for so much longer.
+    /// No slot for this long, because the request crashes endpoints.
     Rejected(Duration),
 }
 
@@ -77,55 +78,55 @@
     place: Place,
     asked: Time,
     queued: bool,
-    /// Asks at this place since it last said something.
+    /// Asks at this place since its last answer.
     asks: u32,
-    /// Places that brought nothing.
+    /// Number of places asked without success.
     vain: u32,
 }
 
-/// A change in who answers asks.
+/// A change in the reachability of a dispatching node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// It did not answer, or hands out nothing any more; it is passed over for a while.
+    /// The node does not answer or hands out no more slots; it is passed over for a while.
     Lost(NodeId),
-    /// It has answered after it was lost.
+    /// The node has answered again.
     Regained(NodeId),
 }
 
-/// Finds dispatching nodes.
+/// Source of the dispatching nodes.
 pub trait Directory {
     /// The nodes that can dispatch a service, best first.
     fn candidates(&self, service: u64) -> Vec<NodeId>;
 }
 
-/// The asking side of one node.
+/// Asking side of one node.
 #[derive(Debug)]
 pub struct Client {
     me: NodeId,
-    /// An ask without an answer for this long is lost.
+    /// An ask without an answer for this long counts as lost.
     timeout: Duration,
     pending: FxHashMap<PermitId, Pending>,
-    /// Until when a node is passed over, and for how long it was.
+    /// End and length of the time during which a node is passed over.
     passed_over: FxHashMap<NodeId, (Time, Duration)>,
-    /// For each service, where this node's part of the fixed budget for repeats is spent, and when that was last
-    /// asked. Brought along with every ask, the part of one node was spent by each dispatching node that it had
-    /// asked within the window, where frames are lost.
+    /// For each service, the place that holds this node's share of the fixed repeat budget, and
+    /// when that place was last asked. Sent along with every ask, the share of one node was spent
+    /// by every dispatching node asked within the window when frames were lost.
     parts: FxHashMap<u64, (Place, Time)>,
-    /// Wishes that were granted lately, and by whom.
+    /// Recently granted requests, and the place that granted them.
     granted: FxHashMap<PermitId, (Place, Time)>,
     next_forget: Time,
-    /// The window of the budget.
+    /// Window of the repeat budget.
     window: Duration,
-    /// Dispatching nodes lost or regained since this was last taken.
+    /// Reachability changes since the last call of `take_contacts`.
     contacts: Vec<Contact>,
-    /// Asks that nobody answered.
+    /// Number of asks that got no answer.
     pub timeouts: u64,
-    /// Slots that this node picked for itself because nobody answered.
+    /// Number of slots picked locally because no node answered.
     pub direct: u64,
 }
 
 impl Client {
-    /// A client of the node `me`. `window` is that of the budget for repeats.
+    /// Creates the client of the node `me`. `window` is the window of the repeat budget.
     pub fn new(me: NodeId, timeout: Duration, window: Duration) -> Self {
         Self {
             me,
@@ -142,12 +143,12 @@
         }
     }
 
-    /// Whether no wish is under way.
+    /// Whether no request is pending.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Starts on a wish.
+    /// Starts a permit request.
     pub fn wish(&mut self, now: Time, wish: Wish, directory: &impl Directory) -> Action {
         let id = wish.ask.id;
         let pending =
@@ -156,7 +157,7 @@
         self.ask(now, id, directory)
     }
 
-    /// Takes in a reply from `place`.
+    /// Processes a reply from `place`.
     pub fn reply(
         &mut self,
         now: Time,
@@ -208,17 +209,17 @@
         }
     }
 
-    /// Dispatching nodes that were lost or regained since the last call.
+    /// Returns the dispatching nodes that were lost or regained since the last call.
     pub fn take_contacts(&mut self) -> Vec<Contact> {
         std::mem::take(&mut self.contacts)
     }
 
-    /// Withdraws a wish. A grant that still arrives is given back.
+    /// Withdraws a request. A grant that still arrives is given back.
     pub fn withdraw(&mut self, id: PermitId) -> Option<Place> {
         self.pending.remove(&id).map(|it| it.place)
     }
 
-    /// Handles what was not answered in time.
+    /// Handles the asks that were not answered in time.
     pub fn tick(&mut self, now: Time, directory: &impl Directory) -> Vec<Action> {
         self.forget_grants(now);
         let lost: Vec<PermitId> = self
@@ -241,7 +242,7 @@
         let is_passed_over =
             |node| self.passed_over.get(&node).is_some_and(|(until, _)| now < *until);
         match place {
-            // It may be another node's turn by now.
+            // Another node may dispatch the service by now.
             _ if std::mem::take(&mut pending.queued) => {}
             Place::Peer(node) if pending.asks < ASKS_IN_VAIN && !is_passed_over(node) => {
                 return vec![self.ask_at(now, id, place)];
@@ -259,7 +260,7 @@
         left.into_iter().chain([ask]).collect()
     }
 
-    /// Asks a node that does not answer for nothing for a while.
+    /// Does not ask an unresponsive node for a while.
     pub fn pass_over(&mut self, now: Time, node: NodeId) {
         let before = self.passed_over.get(&node).map(|(_, length)| *length);
         if before.is_none() {
@@ -269,7 +270,7 @@
         self.passed_over.insert(node, (now + length, length));
     }
 
-    /// Asks whoever hands out the slots now.
+    /// Asks the current dispatcher of the service.
     fn ask(&mut self, now: Time, id: PermitId, directory: &impl Directory) -> Action {
         let pending = self.pending.get_mut(&id).expect("asked for pending wishes only");
         let place = match pending.vain < MAX_SILENT {
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Who is asked for the slots of a service now.
+    /// The place that is currently asked for the slots of a service.
     pub fn place(&self, now: Time, service: u64, directory: &impl Directory) -> Place {
         place(self.me, &self.passed_over, now, service, directory)
     }
@@ -312,13 +313,13 @@
         self.passed_over.get(&node).is_some_and(|(until, _)| now < *until)
     }
 
-    /// Follows a change of the budget's window.
+    /// Changes the window of the repeat budget.
     pub fn set_window(&mut self, window: Duration) {
         self.window = window;
     }
 
-    /// Whether this node's part of the budget is spent at `place`. It moves there only when the place before
-    /// has not been asked for a window.
+    /// Whether an ask at `place` carries this node's share of the budget. The share moves to
+    /// another place only after its former place was not asked for a whole window.
     fn brings_part(&mut self, now: Time, service: u64, place: Place) -> bool {
         let known = self.parts.get(&service);
         let is_elsewhere =
@@ -331,7 +332,7 @@
 }
 
 impl Client {
-    /// A slot that arrives after its wish has moved on is given back at once.
+    /// Gives back a slot that arrives after its request was completed or moved to another place.
     fn unwanted(&self, place: Place, id: PermitId, reply: &Reply) -> Option<Action> {
         let is_in_use = self.granted.get(&id).is_some_and(|(it, _)| *it == place);
         match reply {
@@ -353,14 +354,14 @@
         let patience = match (self.queued, self.place) {
             (true, Place::Peer(_)) => ASK_AGAIN,
             (false, Place::Peer(_)) => timeout,
-            // A queue on this node answers by itself.
+            // A local queue replies without being asked again.
             (_, Place::Direct | Place::Own) => return now >= self.wish.deadline,
         };
         now >= self.wish.deadline || now.since(self.asked) >= patience
     }
 }
 
-/// The best of those that can dispatch a service and are not passed over.
+/// The best candidate for a service that is not passed over.
 fn place(
     me: NodeId,
     passed_over: &FxHashMap<NodeId, (Time, Duration)>,
@@ -376,7 +377,8 @@
     }
 }
 
-/// Gives back what a node may have granted to a wish that is asked for elsewhere: its answer may have been lost.
+/// Releases what a node may have granted to a request that moved to another place: its answer may
+/// have been lost.
 fn leave(place: Place, id: PermitId) -> Option<Action> {
     match place {
         Place::Peer(node) => Some(Action::Send(node, PermitMessage::Release { id, outcome: None })),
