--- a/crates/fleet/src/tests.rs
+++ b/crates/fleet/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the exchange, driven without sockets.
+//! Tests of the state machines, without sockets.
 
 mod allowances;
 mod delivery;
