--- a/crates/fleet/src/tests/allowances.rs
+++ b/crates/fleet/src/tests/allowances.rs
@@ -1,4 +1,4 @@
-//! Asks for allowances: lost ones, silent owners, and what is remembered.
+//! Tests of allowances: lost asks, silent owners, and remembered decisions.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
     AllowanceClient::new(ME, TIMEOUT, 100)
 }
 
-/// The node that an ask goes to.
+/// The node that an ask is sent to.
 fn asked(actions: &[AllowanceAction]) -> Option<NodeId> {
     actions.iter().find_map(|it| match it {
         AllowanceAction::Send(node, AllowanceMessage::Ask { .. }) => Some(*node),
@@ -61,7 +61,8 @@
     assert!(asked(&actions).is_some_and(|it| it != first), "{actions:?}");
 }
 
-/// Two silent owners are enough: the node's own share decides, and what it lacks is not known to be used up.
+/// After two silent owners the node's own share decides; a refusal then does not prove that the
+/// allowance is used up.
 #[test]
 fn a_node_that_reaches_no_owner_has_its_own_share() {
     let mut client = client();
