--- a/crates/fleet/src/tests/delivery.rs
+++ b/crates/fleet/src/tests/delivery.rs
@@ -29,7 +29,8 @@
     Time(0) + Duration::from_millis(ms)
 }
 
-/// When a message that nobody acknowledges is sent, in milliseconds.
+/// Pins the times in milliseconds at which a message is sent again while no acknowledgement
+/// arrives.
 #[test]
 fn a_message_is_sent_until_its_permit_has_expired() {
     let mut delivery = Delivery::new(1);
@@ -70,7 +71,7 @@
     expect.assert_eq(&error.unwrap_err().to_string());
 }
 
-/// Each frame of what is sent again, and its acknowledgement, fits a datagram, whatever numbers have grown to.
+/// Every repeated frame and its acknowledgement fit into a datagram, even with the largest numbers.
 #[test]
 fn all_that_is_sent_again_fits_datagrams() {
     let keys = Keys { current: Key::new(b"k"), also: None };
@@ -93,7 +94,8 @@
     }
 }
 
-/// Batches by stream, oldest number and numbers, and what is new of each.
+/// Receives batches given as stream, oldest number and numbers, and compares the new messages of
+/// each.
 #[track_caller]
 fn check(batches: &[(u32, u64, &[u64])], expect: Expect) {
     let mut delivery = Delivery::new(9);
@@ -110,24 +112,24 @@
 #[test]
 fn each_number_is_taken_in_once() {
     check(&[(1, 0, &[0]), (1, 0, &[0, 1]), (1, 0, &[1])], expect!["[0] [1] []"]);
-    // The sender holds nothing below two any more: what comes later is an old frame.
+    // The sender holds no number below two any more: the second batch is an old frame.
     check(&[(1, 2, &[3]), (1, 0, &[0, 1]), (1, 2, &[2, 3])], expect!["[3] [] [2]"]);
 }
 
 #[test]
 fn numbers_begin_anew_with_a_new_process() {
     check(&[(1, 0, &[0, 1]), (2, 0, &[0]), (2, 0, &[0, 1])], expect!["[0, 1] [0] [1]"]);
-    // A late frame of the process before is of no use to anybody.
+    // A late frame of the former process is ignored.
     check(&[(1, 0, &[0]), (2, 0, &[0]), (1, 0, &[1]), (2, 0, &[1])], expect!["[0] [0] [] [1]"]);
 }
 
-/// A link that loses, doubles and delays frames.
+/// A link that loses, duplicates and delays frames.
 #[derive(Clone, Copy, Debug)]
 struct Link {
     lost: f64,
     doubled: f64,
     delay_ms: u64,
-    /// Whether the sender begins anew half-way.
+    /// Whether the sender restarts half-way.
     restarts: bool,
     seed: u64,
 }
@@ -138,7 +140,7 @@
     Ack(Ack),
 }
 
-/// Frames under way by arrival.
+/// Frames in flight, by time of arrival.
 struct Net {
     link: Link,
     rng: StdRng,
@@ -160,10 +162,10 @@
 }
 
 const MESSAGES: u64 = 400;
-/// Messages are sent at this interval, in milliseconds.
+/// Interval between messages, in milliseconds.
 const EVERY: u64 = 7;
 
-/// How often each message was taken in.
+/// Returns how often each message was received.
 fn play(link: Link) -> Vec<u32> {
     let rng = StdRng::seed_from_u64(link.seed);
     let mut net = Net { link, rng, frames: BTreeMap::new(), sent: 0 };
@@ -211,8 +213,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::with_cases(64) })]
 
-    /// No message is taken in twice, and while its sender lives none is lost, but for one in a hundred thousand that
-    /// are lost eleven times.
+    /// No message is processed twice. While its sender runs, no message is lost, except for one in
+    /// a hundred thousand whose frames are lost eleven times.
     #[test]
     fn messages_arrive_once_over_links_that_lose_double_and_delay(link in links()) {
         let taken = play(link);
