--- a/crates/fleet/src/tests/duty.rs
+++ b/crates/fleet/src/tests/duty.rs
@@ -7,7 +7,7 @@
 const FIRST: Rank = Rank { link_mbps: 10, node: NodeId(1) };
 const ME: Rank = Rank { link_mbps: 10, node: NodeId(5) };
 const LAST: Rank = Rank { link_mbps: 10, node: NodeId(9) };
-/// Follows by its identity, but its link carries more.
+/// Ranks behind `FIRST` by identity, but has a faster link.
 const STRONG: Rank = Rank { link_mbps: 200, node: NodeId(9) };
 
 fn at(ms: u64) -> Time {
@@ -27,7 +27,7 @@
     assert_eq!(duty.reads(at(1_201)), Reads::Everything);
 }
 
-/// A reader is heard for a while after its last answer, and may fall silent only then.
+/// A reader keeps announcing itself for a while after the last answer of the platform.
 #[test]
 fn a_node_steps_in_by_the_age_of_the_last_answer_whoever_goes_on_talking() {
     let mut duty = Duty::new(ME);
@@ -69,8 +69,9 @@
     assert_eq!(duty.reads(at(101)), Reads::Everything);
 }
 
-/// A reader that the platform refused passed on what it heard from others as its own word, and so
-/// kept those away whom the platform would have answered.
+/// Guards against a reader without answers of its own that announced itself with freshness
+/// confirmations of other readers, and so kept nodes from reading that the platform would have
+/// answered.
 #[test]
 fn a_node_that_the_platform_refuses_does_not_say_that_it_reads() {
     let mut duty = Duty::new(ME);
@@ -113,8 +114,8 @@
     assert!(duty.is_fresh(at(2_100)));
 }
 
-/// A node that cannot serve all that ask at once says so, and those that it refuses go to the platform instead
-/// of waiting for it.
+/// A node that is too busy to serve a fetch refuses it, and the refused node reads the platform
+/// instead of waiting.
 #[test]
 fn a_node_that_a_busy_peer_refuses_reads_the_configuration_at_once() {
     let mut duty = Duty::new(ME);
@@ -142,7 +143,8 @@
     assert_eq!(strong.reads(at(1)), Reads::Everything);
 }
 
-/// When all start together, those whose links carry the first copy soonest read it, and the others wait for them.
+/// When all nodes start together, those with the fastest links read first, and the others wait for
+/// them.
 #[test]
 fn nodes_that_start_wait_for_their_turn_the_longer_the_less_their_link_carries() {
     let turn = |link_mbps, spread| {
@@ -165,7 +167,8 @@
     assert_eq!(duty.reads(at(1_150)), Reads::Everything, "no peer gave it a copy");
 }
 
-/// All nodes of a failure domain made calls when the one that read fell silent for a moment.
+/// Without the back-off by rank, all nodes of a failure domain called the platform when their
+/// reader was silent for a moment.
 #[test]
 fn nodes_step_in_by_precedence() {
     let steps_in_after = |preceding| {
