--- a/crates/fleet/src/tests/permits.rs
+++ b/crates/fleet/src/tests/permits.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// A line for each action, as `ask 2` or `direct`.
+/// Describes an action in a few words, such as `ask 2` or `direct`.
 fn name(action: &Action) -> String {
     match action {
         Action::AskHere(Place::Direct, ..) => "direct".into(),
@@ -90,7 +90,7 @@
     client.tick(now, table).iter().map(name).collect()
 }
 
-/// The node that was asked first says nothing, and the next one is asked.
+/// The node that was asked first does not answer, and the next one is asked.
 fn ask_in_vain(client: &mut Client, table: &Table) {
     let asked: Vec<String> =
         [10, 20, 30].into_iter().flat_map(|it| tick(client, table, it)).collect();
@@ -147,10 +147,10 @@
     let table = three_nodes();
     let (mut client, _) = start(&table);
     assert!(tick(&mut client, &table, 9).is_empty());
-    // An ask or its answer may be lost.
+    // A single ask or its answer may be lost.
     assert_eq!(tick(&mut client, &table, 10), ["ask 2"]);
     assert_eq!(tick(&mut client, &table, 20), ["ask 2"]);
-    // So may be the answer that granted a slot.
+    // The lost answer may have granted a slot.
     assert_eq!(tick(&mut client, &table, 30), ["release 2", "ask 3"]);
     assert_eq!(tick(&mut client, &table, 40), ["ask 3"]);
     assert_eq!(tick(&mut client, &table, 50), ["ask 3"]);
@@ -170,9 +170,9 @@
     assert_eq!(reply(&mut client, &table, 2, Reply::Granted(grant())), "release 2");
     let granted = reply(&mut client, &table, 3, Reply::Granted(grant()));
     assert_eq!(granted, "granted by Peer(NodeId(3))");
-    // The same slot once more: the request uses it.
+    // A repeated grant of the same slot: the request uses the slot.
     assert_eq!(reply(&mut client, &table, 3, Reply::Granted(grant())), "nothing");
-    // The first node's slot is of no use, however often it is granted.
+    // The first node's slot is never used, however often it is granted.
     assert_eq!(reply(&mut client, &table, 2, Reply::Granted(grant())), "release 2");
 }
 
@@ -206,15 +206,15 @@
     assert_eq!(client.take_contacts(), []);
     ask_in_vain(&mut client, &table);
     assert_eq!(client.take_contacts(), [Contact::Lost(NodeId(2))]);
-    // Its answer comes after all; a second one is no news.
+    // A late answer regains the node; the second answer changes nothing.
     reply(&mut client, &table, 2, Reply::Queued);
     reply(&mut client, &table, 2, Reply::Queued);
     assert_eq!(client.take_contacts(), [Contact::Regained(NodeId(2))]);
 }
 
-/// Found on reading, while asks that brought nothing came to be said again: the node that hands out slots answers each of
-/// them, with the same slot. The second answer was taken for a slot that nobody wants, and the slot was given back under the
-/// request that used it, which then counted nowhere.
+/// Guards against releasing a slot in use. The dispatching node answers each repeated ask with the
+/// same slot; the second answer was taken for an unwanted slot and the slot was released, so that
+/// the running request was counted nowhere.
 #[test]
 fn a_grant_that_is_said_twice_gives_back_no_slot_in_use() {
     let table = three_nodes();
