--- a/crates/fleet/src/tests/replica.rs
+++ b/crates/fleet/src/tests/replica.rs
@@ -7,7 +7,7 @@
 
 use crate::replica::{MISSING_FOR, RETURNS_AFTER, Replica};
 
-/// A position in the only era.
+/// A position in the only era of these tests.
 fn at(revision: u64) -> Position {
     Position { era: 0, revision }
 }
@@ -64,7 +64,7 @@
     replica.update(Time(0), &changes(5, 6, vec![removed("a", 6)]));
     assert!(replica.tick(Time(0) + MISSING_FOR));
     assert_eq!(known(&replica), []);
-    // Less than the two seconds after which it must get no more work.
+    // Less than the two seconds after which an endpoint that left must get no more work.
     assert!(MISSING_FOR < Duration::from_secs(2));
 }
 
@@ -102,7 +102,7 @@
     let (mut early, mut late) = (Replica::default(), Replica::default());
     let read = |to| Published { complete_to: at(to), ..whole(5, vec![present("a", 5)]) };
     early.update(Time(0), &read(5));
-    // Other keys of the platform have changed meanwhile.
+    // Other keys of the platform have changed in the meantime.
     late.update(Time(0), &read(40));
     assert_eq!(early.facts(), late.facts());
 }
@@ -111,7 +111,8 @@
     news.endpoints.iter().map(|it| (it.id.as_str(), it.at.revision)).collect()
 }
 
-/// One lost frame cost 58 KB where a few hundred bytes were missing.
+/// Guards against sending the complete registry of 58 KB after one lost frame where a few hundred
+/// bytes were missing.
 #[test]
 fn a_peer_that_lacks_the_latest_changes_is_given_those_alone() {
     let mut replica = Replica::default();
@@ -130,7 +131,8 @@
     assert_eq!(ids(&replica.since(at(8)).unwrap()), []);
 }
 
-/// Changes beyond a gap are known but not all of those before them: a peer is not given them as complete.
+/// Changes beyond a gap are known without some of the changes before them, so they are not passed
+/// on as complete.
 #[test]
 fn what_lies_beyond_a_gap_is_not_given_on() {
     let mut replica = Replica::default();
@@ -153,7 +155,8 @@
     assert_eq!(ids(&replica.since(at(2_900)).unwrap()), [("a", 2_999)]);
 }
 
-/// What was said of an endpoint's life before, its leaving too, ends with the next one.
+/// State of an earlier incarnation of an endpoint, including its leaving, ends with the next
+/// incarnation.
 #[test]
 fn an_endpoint_that_starts_again_under_its_identity_is_there_anew() {
     let again = |revision| {
@@ -169,13 +172,13 @@
         assert!(replica.update(Time(0), &changes(5, 6, vec![again(6)])), "it is news");
         assert_eq!(known(&replica), [("a".into(), Standing::Present)]);
         assert_eq!(replica.registrations().next().unwrap().endpoint.started_ms, 1_000);
-        // The same entry again is none.
+        // The same entry again changes nothing.
         assert!(!replica.update(Time(0), &changes(6, 7, vec![again(7)])));
     }
 }
 
-/// Found on reading: of an endpoint that was gone, named by an older copy, and not there any more when all was read once
-/// more, nobody took back the name, and it got work again.
+/// Guards against an endpoint that got work again after its end: it was gone, an older copy listed
+/// it, and the next full list without it did not revoke that listing.
 #[test]
 fn an_endpoint_that_an_older_copy_named_is_gone_once_it_is_listed_no_more() {
     let of_era_2 = |revision| Position { era: 2, revision };
@@ -195,7 +198,7 @@
     assert_eq!(known(&replica), [("b".into(), Standing::Present)]);
 }
 
-/// The entry by which a failure domain is evacuated, or its removal.
+/// The entry that evacuates a failure domain, or its removal.
 fn evacuation(revision: u64, entry: Option<RegistryEntry>) -> RegistryChange {
     RegistryChange { id: "evacuation".into(), at: at(revision), entry }
 }
@@ -211,21 +214,21 @@
     assert!(replica.update(Time(0), &changes(5, 6, vec![evacuation(6, start.clone())])));
     let held = [("a".into(), Standing::Evacuated), ("b".into(), Standing::Leaving)];
     assert_eq!(known(&replica), held);
-    // Peers that take a copy know of it.
+    // Peers that fetch the registry receive the evacuation.
     let mut other = Replica::default();
     other.update(Time(0), &replica.whole());
     assert_eq!(known(&other), held);
-    // So do those that join it later.
+    // Endpoints that join the failure domain later are evacuated too.
     replica.update(Time(0), &changes(6, 7, vec![present("c", 7)]));
     assert_eq!(known(&replica)[2].1, Standing::Evacuated);
     assert!(replica.update(Time(0), &changes(7, 8, vec![evacuation(8, None)])));
     assert_eq!(known(&replica)[0].1, Standing::Present);
-    // An older state of it is no news.
+    // An older state of the entry changes nothing.
     assert!(!replica.update(Time(0), &changes(8, 8, vec![evacuation(6, start)])));
 }
 
-/// Of 586 nodes each took all of 6,000 endpoints from the one that had read them anew, whose link carried ten of them a
-/// second.
+/// Guards against fetches of the complete registry after a full read: each of 586 nodes fetched all
+/// 6,000 endpoints from the reader, whose link could serve ten fetches per second.
 #[test]
 fn a_list_of_everything_is_told_to_peers_by_what_is_new_in_it() {
     let name = |i: usize| format!("i-{i:04}");
