--- a/crates/fleet/src/tests/replica_model.rs
+++ b/crates/fleet/src/tests/replica_model.rs
@@ -1,14 +1,15 @@
-//! A model of the copies, explored exhaustively: within the life of a process what it has in force
-//! never reverts, and copies that have heard everything agree, whatever the order.
+//! Exhaustive exploration of a model of the replicas: during the lifetime of a process the state in
+//! force never reverts, and replicas that have received every update agree, whatever the order.
 //!
-//! The specification below is small and separate: each node should hold the newest state of each
-//! entry, and the newest configuration, of all that it was told since its start. Every step is also
-//! made by the copy that runs in production, and the two must agree in every reachable state.
+//! The specification below is small and independent of the production code: each node should hold
+//! the newest state of each entry, and the newest configuration, among all updates received since
+//! its start. Every step is also applied to a production replica, and the two must agree in every
+//! reachable state.
 //!
-//! The environment publishes, comes back from older copies, lets nodes read everything or the changes since their last
-//! read, loses and delays what one node tells another, lets a node fetch from another, and restarts nodes. What comes
-//! after a return is newer than all before it; but that an older copy has an entry proves nothing to one who knows
-//! that it was removed.
+//! The environment publishes, comes back from older copies, lets nodes read everything or the
+//! changes since their last read, loses and delays updates between nodes, lets a node fetch from
+//! another, and restarts nodes. Updates after a return are newer than all updates before it; but
+//! the listing of an entry in an older copy does not override a known removal of the entry.
 
 use std::sync::Arc;
 
@@ -19,13 +20,15 @@
 use crate::replica::Replica;
 
 const NODES: usize = 2;
-/// What happens at the platform, by schedule: an entry is there, gone, there again, configurations, returns.
+/// Changes at the platform by schedule: the entry is written, removed and written again,
+/// configurations are published, the platform comes back from older copies.
 const SCHEDULES: [&[Change]; 5] = [
     &[Change::Config, Change::Present, Change::Config, Change::Removed, Change::Present],
-    // The older copy has an entry that was removed, and it lapses there too, or is written again.
+    // The older copy contains an entry that was removed; the entry lapses there too, or is written
+    // again.
     &[Change::Present, Change::Config, Change::Removed, Change::ReturnTo(1), Change::Removed],
     &[Change::Present, Change::Removed, Change::ReturnTo(1), Change::Config, Change::Present],
-    // The older copy lacks an entry, whose revision is given out again.
+    // An entry is missing from the older copy, and its revision is assigned again.
     &[Change::Config, Change::Present, Change::ReturnTo(1), Change::Config, Change::Present],
     // A return during a return.
     &[
@@ -37,7 +40,7 @@
         Change::Config,
     ],
 ];
-/// Restarts in one schedule.
+/// Maximum number of restarts in one schedule.
 const RESTARTS: u8 = 1;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -45,19 +48,19 @@
     Config,
     Present,
     Removed,
-    /// The platform comes back from the copy made after so many changes.
+    /// The platform comes back from the copy made after this many changes.
     ReturnTo(usize),
 }
 
 /// The platform after some changes.
 #[derive(Clone, Debug, Default)]
 struct Store {
-    /// Up to where it has published.
+    /// Position up to which the platform has published.
     now: Position,
     version: u64,
-    /// The revision at which the entry was written, and which write that was.
+    /// Revision at which the entry was written, and the number of that write.
     entry: Option<(u64, u64)>,
-    /// What was written in this era, with the write if the entry is there then.
+    /// Revisions written in this era, with the number of the write if the entry exists after them.
     written: Vec<(u64, Option<u64>)>,
 }
 
@@ -91,17 +94,18 @@
     }
 }
 
-/// What a node should know.
+/// The state that a node should have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Known {
     version: u64,
-    /// The latest that was heard of the entry, and where: which write it is, or nothing if it is gone.
+    /// The latest known state of the entry, with its position: the number of its write, or `None`
+    /// if the entry is removed.
     entry: Option<(Position, Option<u64>)>,
-    /// The latest change that is known with all before it.
+    /// Position up to which all changes are known.
     latest: Position,
-    /// Up to where all that is there was listed.
+    /// Position up to which a full list was received.
     complete_to: Position,
-    /// Changes after which it has read the platform itself; 0 if it has read nothing.
+    /// Number of changes after which the node last read the platform; 0 if it has read nothing.
     read_to: usize,
 }
 
@@ -110,17 +114,17 @@
     schedule: usize,
     published: usize,
     nodes: [Known; NODES],
-    /// The steps that made the production copies what they are.
+    /// The updates applied to the production replicas.
     told: [Vec<Told>; NODES],
     restarts: u8,
 }
 
-/// Something that a node takes in.
+/// An update that a node receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Told {
-    /// Everything, as of so many changes at the platform.
+    /// A full list, made after this many changes at the platform.
     Whole(usize),
-    /// The changes from one number of them to another, within an era.
+    /// The changes from one number of changes to another, within an era.
     Changes(usize, usize),
 }
 
@@ -168,7 +172,7 @@
     for (revision, write) in &new {
         let at = store.at(*revision);
         let is_news = at > known.entry.map_or(complete_to, |(at, _)| at);
-        // Nothing is known of an entry that was never there.
+        // The removal of an entry that was never known has no effect.
         if is_news && (write.is_some() || known.entry.is_some()) {
             known.entry = Some((at, *write));
         }
@@ -201,7 +205,7 @@
     Published { after, latest, complete_to, document, unreadable: None, endpoints }
 }
 
-/// An entry as it was made by a write, or its removal.
+/// An entry as written by write number `write`, or its removal.
 fn entry(at: Position, write: Option<u64>) -> RegistryChange {
     let registration = |write: u64| {
         let endpoint = Endpoint {
@@ -230,7 +234,7 @@
     replica
 }
 
-/// What the production copy shows, against what the specification says.
+/// Compares the production replica with the specification.
 fn check(world: &World) {
     for (known, told) in world.nodes.iter().zip(&world.told) {
         let replica = real(world.schedule, told);
@@ -244,7 +248,8 @@
     }
 }
 
-/// Steps that a node takes in, in one life: the platform's returns make many more schedules.
+/// Maximum number of updates that a node receives during one lifetime: the returns of the platform
+/// multiply the reachable states.
 fn most_told(schedule: usize) -> usize {
     if schedule == 0 { 4 } else { 3 }
 }
@@ -260,7 +265,7 @@
         let read_to = world.nodes[i].read_to;
         let mut tell = |told: Told, reads: bool| {
             let mut it = world.clone();
-            // A reader passes on what it has read, at once or, seen from here, much later.
+            // A reader passes on what it has read, at once or much later.
             for (j, node) in it.nodes.iter_mut().enumerate() {
                 if (j == i) == reads {
                     take_in(node, world.schedule, told);
@@ -278,7 +283,7 @@
         if read_to > 0 && read_to < now && era(read_to) == era(now) {
             tell(Told::Changes(read_to, now), true);
         }
-        // The other node hears of it late, or only now and not before.
+        // The other node receives the update late, or missed it before.
         if read_to > 0 {
             tell(Told::Whole(read_to), false);
         }
@@ -294,8 +299,9 @@
     next
 }
 
-/// Within a life a configuration is never replaced by an older one, nor the copy of an era by one of an era before, and
-/// who knows that an entry was removed does not get it back from an older copy.
+/// Within a lifetime a configuration is never replaced by an older one, nor the copy of an era by
+/// the copy of an earlier era, and an entry that is known to be removed does not come back from an
+/// older copy.
 fn check_step(before: &World, after: &World) {
     for i in 0..NODES {
         let is_restart = after.told[i].is_empty();
