--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -37,7 +37,7 @@
     frame(Message::Gossip(Gossip { nodes, ..Gossip::default() }))
 }
 
-/// An address and numbers of the greatest encoded length.
+/// A node state of the greatest encoded length.
 fn longest_info() -> NodeInfo {
     let addr: SocketAddr = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535".parse().unwrap();
     NodeInfo {
@@ -67,7 +67,7 @@
     assert!(buf.len() <= MAX_FRAME_BYTES, "{}", buf.len());
 }
 
-/// As many changes as are told in one frame, each of the longest usual form.
+/// An update with the maximum number of changes, each of the greatest length expected in use.
 fn longest_news() -> News {
     let endpoint = Endpoint {
         id: "i-0123456789abcdef0123".into(),
@@ -189,7 +189,8 @@
         let _ = Frame::decode(&buf, &keys("k"));
     }
 
-    /// The body is decoded only behind a valid signature; here strangers know the key.
+    /// The body is decoded only after its signature was verified; this test signs with the valid
+    /// key.
     #[test]
     fn any_signed_bytes_are_survived(body in prop::collection::vec(any::<u8>(), 1..1_100)) {
         let keys = keys("k");
