--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,7 +1,7 @@
 //! Frames between nodes: a version byte, a keyed hash, and a message in postcard encoding.
 //!
-//! A frame that fails any check is dropped and counted. Replaying a frame does no harm: facts only
-//! move forward, and permits carry identities.
+//! A frame that fails any check is dropped and counted. Replayed frames do no harm: known versions
+//! only increase, and permits carry identities.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,26 +15,27 @@
 use crate::allowances::AllowanceMessage;
 use crate::replica::Facts;
 
-/// Largest frame in bytes; it fits one datagram on usual networks.
+/// Largest frame in bytes; fits into one datagram on usual networks.
 pub const MAX_FRAME_BYTES: usize = 1_200;
-/// Nodes told of in one round; with the header this keeps a frame at about 400 bytes.
+/// Maximum number of nodes in one gossip message; with the header this keeps a frame at about 400
+/// bytes.
 pub(crate) const NODES_PER_FRAME: usize = 10;
 /// Version of the protocol. A node drops frames of other versions.
 pub(crate) const VERSION: u8 = 11;
-/// Bytes of the keyed hash that a frame carries.
+/// Length of the keyed hash in a frame, in bytes.
 pub(crate) const TAG_BYTES: usize = 16;
 const HEADER_BYTES: usize = 1 + TAG_BYTES;
-/// Longest encoding of the number of a message.
+/// Longest encoding of a message number.
 pub(crate) const MAX_NUMBER_BYTES: usize = 10;
-/// Room for the messages of a batch: a frame less its header, the sender, the stream and numbers.
+/// Space for the messages of a batch: a frame without its header, sender, stream and numbers.
 pub(crate) const MAX_BATCH_BYTES: usize = MAX_FRAME_BYTES - 100;
 
-/// The fleet's key; its text never appears in logs.
+/// The fleet's secret key; `Debug` output does not show it.
 #[derive(Clone)]
 pub struct Key([u8; 32]);
 
 impl Key {
-    /// Derives the key from the operators' secret, whose length and form do not matter.
+    /// Derives the key from the operators' secret, which may have any length and form.
     pub fn new(secret: &[u8]) -> Self {
         Self(blake3::derive_key("dappleway fleet frames v1", secret))
     }
@@ -50,12 +51,12 @@
     }
 }
 
-/// The key that is used, and one more that is accepted while the key is replaced.
+/// The key in use and, during a key change, one more key that is accepted.
 #[derive(Clone, Debug)]
 pub struct Keys {
-    /// Signs and is accepted.
+    /// Signs frames and is accepted.
     pub current: Key,
-    /// Is accepted.
+    /// Is accepted, but does not sign.
     pub also: Option<Key>,
 }
 
@@ -73,97 +74,98 @@
     }
 }
 
-/// What a node is doing.
+/// Phase of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Does not know yet what the fleet has in force.
+    /// Does not yet know the configuration in force.
     Starting,
-    /// Serves, but has started lately: it has seen too little to hand out slots for others.
+    /// Serves, but started recently and has too few observations to hand out slots for others.
     Fresh,
     /// Serves.
     Ready,
-    /// Is ending its work.
+    /// Is shutting down.
     Leaving,
 }
 
-/// What a node's VM has for its work.
+/// Resources of a node's VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
     /// Thousandths of a core.
     pub millicores: u32,
-    /// What the link carries, in Mbit/s.
+    /// Bandwidth of the link, in Mbit/s.
     pub link_mbps: u32,
 }
 
-/// What is known of one node.
+/// State of a node as sent to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// Address of its exchange.
+    /// Address of the node's exchange.
     pub addr: SocketAddr,
     /// Hash of its failure domain.
     pub failure_domain: u64,
-    /// Start of its process; a later start is larger.
+    /// Start time of its process; a later start has a larger value.
     pub incarnation: u64,
-    /// Grows with each of its frames.
+    /// Increases with every gossip message of the node.
     pub version: u32,
-    /// What its VM has.
+    /// Resources of its VM.
     pub capacity: Capacity,
-    /// What it is doing.
+    /// Phase of its process.
     pub phase: Phase,
-    /// How new its copy of what the platform published is.
+    /// Versions of its copy of the state published by the platform.
     pub facts: Facts,
 }
 
-/// An endpoint that the node which dispatches it uses last or has taken out.
+/// Marks an endpoint that its dispatching node uses last or has ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// The endpoint.
+    /// Address of the endpoint.
     pub endpoint: SocketAddr,
-    /// How long the verdict is to be believed, in milliseconds.
+    /// How long the verdict stays valid, in milliseconds.
     pub valid_ms: u32,
 }
 
-/// What a node tells a random peer in each round.
+/// Contents of a gossip round.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
     /// Nodes, the sender first.
     pub nodes: Vec<NodeInfo>,
     /// Verdicts that are still valid.
     pub verdicts: Vec<Verdict>,
-    /// Requests that endpoints end under.
+    /// Requests that crash endpoints.
     pub rejections: Vec<Rejection>,
-    /// Whether the receiver is to answer with what it knows.
+    /// Whether the receiver has to reply with its own gossip.
     pub wants_reply: bool,
 }
 
-/// What a node has read from the platform.
+/// Announcement of a reader: what it has read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// The sender, who may not be known yet to all that it knows.
+    /// The sender, which may still be unknown to some receivers.
     pub sender: NodeInfo,
-    /// How new a copy is that has these changes and all before them.
+    /// Versions that a copy reaches with these changes and all changes before them.
     pub facts: Facts,
-    /// The changes are all those after this position of the platform.
+    /// The changes are complete after this position of the platform.
     pub after: Position,
-    /// Changes of the registry; none if there were none or too many for a frame.
+    /// Changes of the registry; empty if there were none or too many to send.
     pub changes: Vec<RegistryChange>,
-    /// What the platform last said to the sender.
+    /// The last answer of the platform to the sender.
     pub last_answer: LastAnswer,
 }
 
-/// What the platform last said to a node that reads it. Ages are those at the time of the frame, in milliseconds.
+/// The last answer of the platform to a reader. Ages are in milliseconds and refer to the time of
+/// sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LastAnswer {
-    /// It did not answer.
+    /// The platform did not answer.
     Lost,
-    /// It had nothing newer than the facts of the frame.
+    /// The platform had nothing newer than the versions in the frame.
     Read {
-        /// Time since its answer.
+        /// Time since the answer.
         age_ms: u32,
     },
-    /// It answered, and its newest configuration cannot be read.
+    /// The platform answered, but its newest configuration cannot be read.
     Unreadable {
-        /// Time since its answer.
+        /// Time since the answer.
         age_ms: u32,
     },
 }
@@ -175,10 +177,10 @@
     Ask {
         /// Hash of the service's name.
         service: u64,
-        /// What is asked for.
+        /// The ask.
         ask: Ask,
     },
-    /// Answers an ask, perhaps more than once.
+    /// Answers an ask; one ask may get several answers.
     Answer {
         /// Identity of the permit.
         id: PermitId,
@@ -189,80 +191,82 @@
     Release {
         /// Identity of the permit.
         id: PermitId,
-        /// How the request ended; nothing if it proves nothing.
+        /// Result and duration of the request; `None` if they say nothing about the endpoint.
         outcome: Option<(Kind, Duration)>,
     },
-    /// Says that a request is stalled.
+    /// Reports that a request is stalled.
     Stalled {
         /// Identity of the permit.
         id: PermitId,
-        /// How long it has been open.
+        /// Time since the request was sent.
         elapsed: Duration,
     },
-    /// Tells those that would dispatch next of a request that went wrong.
+    /// Reports a failed request to the successors of the dispatching node.
     Observed {
         /// Hash of the service's name.
         service: u64,
         /// Identity of the endpoint.
         endpoint: Name,
-        /// What was seen, and by whom.
+        /// What was observed, and by which node.
         observation: Observation,
     },
-    /// Keeps permits alive.
+    /// Extends the lifetime of permits.
     Renew {
-        /// Their identities.
+        /// Identities of the permits.
         ids: Vec<PermitId>,
     },
-    /// Says that a long answer has begun.
+    /// Reports that a long answer has begun.
     AnswerBegan {
         /// Identity of the permit.
         id: PermitId,
-        /// Time from the send to its beginning.
+        /// Time from sending the request to the beginning of the answer.
         elapsed: Duration,
     },
-    /// Tells what an endpoint has said of itself in an answer.
+    /// Forwards a notice that an endpoint has sent with an answer.
     Noticed {
         /// Hash of the service's name.
         service: u64,
         /// Identity of the endpoint.
         endpoint: Name,
-        /// When its life began, in Unix milliseconds.
+        /// Start time of the endpoint's current incarnation, in Unix milliseconds.
         started_ms: u64,
-        /// What it has said.
+        /// The notice.
         notice: Notice,
     },
-    /// Tells how a request ended that speaks for or against it, to those that may hand out slots for it.
+    /// Reports the end of a request that is evidence for or against the suspicion that the request
+    /// crashes endpoints. Receivers are the nodes that may hand out slots for the request.
     Ran {
         /// Hash of the service's name.
         service: u64,
         /// The request.
         request: RequestKey,
-        /// How its run ended.
+        /// How the request ended.
         end: RunEnd,
-        /// Time from the send to that.
+        /// Time from sending the request to its end.
         elapsed: Duration,
     },
-    /// Tells of requests on routes that lead to a service and that another one did not serve.
+    /// Reports requests on routes to this service that another service did not serve.
     UnservedElsewhere {
         /// Hash of the service's name.
         service: u64,
-        /// Requests since the last message.
+        /// Number of requests since the last message.
         requests: u32,
-        /// Requests that were refused before any service was asked.
+        /// Number of requests that were refused before any service was asked.
         refused: u32,
     },
 }
 
 impl PermitMessage {
-    /// Whether it is to arrive once, whatever datagrams are lost. An ask is said again by whoever asked until it is
-    /// answered, and each is answered anew.
+    /// Whether the message needs reliable delivery, which passes it on exactly once in spite of
+    /// lost datagrams. An ask is repeated by its sender until an answer arrives, and every repeated
+    /// ask is answered again.
     pub fn is_reliable(&self) -> bool {
         !matches!(self, Self::Ask { .. } | Self::Answer { .. })
     }
 
-    /// Bytes that it takes in a frame.
+    /// Encoded length in a frame, in bytes.
     pub(crate) fn encoded_len(&self) -> usize {
-        // Nothing in a message can fail to encode; one that did would be refused as too long.
+        // No message can fail to encode; one that did would be refused as too long.
         postcard::to_stdvec(self).map_or(usize::MAX / 2, |it| it.len())
     }
 }
@@ -270,11 +274,11 @@
 /// Messages that are sent again until they are acknowledged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The numbers are those of this life of the sender.
+    /// Identifies the process of the sender that assigned the numbers.
     pub stream: u32,
-    /// No message of a lower number is sent any more.
+    /// Lowest number that the sender may still send again.
     pub oldest: u64,
-    /// Messages with their numbers, which rise by one for each message to the receiver.
+    /// Messages with their numbers, which increase by one for each message to the receiver.
     pub messages: Vec<(u64, PermitMessage)>,
 }
 
@@ -290,22 +294,23 @@
 /// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// One round of the exchange.
+    /// One gossip round or the reply to it.
     Gossip(Gossip),
-    /// What a node that reads the platform tells those of its failure domain.
+    /// Announcement of a reader to its failure domain.
     News(News),
-    /// About slots, sent once.
+    /// Message about slots, sent once.
     Permit(PermitMessage),
-    /// About slots, sent until it is acknowledged.
+    /// Messages about slots, sent until they are acknowledged.
     Reliable(Batch),
     /// Acknowledges messages about slots.
     Ack(Ack),
-    /// About allowances of organisations.
+    /// Message about allowances of organisations.
     Allowance(AllowanceMessage),
 }
 
 impl Message {
-    /// Whether it is about requests, a cost of these and not of control.
+    /// Whether the message belongs to the handling of requests, whose traffic is counted apart from
+    /// control traffic.
     pub fn is_about_requests(&self) -> bool {
         matches!(self, Self::Permit(_) | Self::Reliable(_) | Self::Ack(_) | Self::Allowance(_))
     }
@@ -320,25 +325,25 @@
     pub message: Message,
 }
 
-/// Why a frame was dropped.
+/// Reason for which a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// Shorter than a header or longer than a datagram may be.
+    /// The frame is shorter than a header or longer than a datagram may be.
     #[error("a frame of {0} bytes was dropped: it is not one of ours")]
     Length(usize),
-    /// Another version.
+    /// The frame has another protocol version.
     #[error("a frame of version {0} was dropped: upgrade the older node")]
     Version(u8),
     /// The keyed hash does not match.
     #[error("a forged or foreign frame was dropped: check that all nodes hold the same key")]
     Forged,
-    /// The body cannot be read.
+    /// The body cannot be decoded.
     #[error("a malformed frame was dropped: upgrade the older node")]
     Malformed,
 }
 
 impl Frame {
-    /// Encodes and signs the frame; nothing if it would be too long for a datagram.
+    /// Encodes and signs the frame; returns `None` if it is too long for a datagram.
     pub fn encode(&self, keys: &Keys) -> Option<Vec<u8>> {
         let body = postcard::to_stdvec(self).ok()?;
         if HEADER_BYTES + body.len() > MAX_FRAME_BYTES {
@@ -367,7 +372,7 @@
     }
 }
 
-/// Compares without leaving early, so that the time tells nothing about the tag.
+/// Compares in constant time, so that the duration reveals nothing about the tag.
 fn equal_in_constant_time(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |diff, (x, y)| diff | (x ^ y)) == 0
 }
