--- a/crates/fleet/tests/allowances_after_a_return.rs
+++ b/crates/fleet/tests/allowances_after_a_return.rs
@@ -1,13 +1,11 @@
-//! Allowances in the seconds after all nodes have started anew, in virtual time.
+//! Allowances in the seconds after a restart of all nodes, in virtual time.
 //!
-//! What callers saw: for ten seconds after a return of the fleet half of the requests of organisations that kept to their limits
-//! were refused.
-//!
-//! Order of events: owners that did not know the fleet yet refused, since what they own of an allowance was next to
-//! nothing, and said when the next request would be due by that; each node then refused by itself for as long. Cause: a part
-//! that lasts a moment was taken for one that lasts.
-//!
-//! Evidence: no owner refused any more from three seconds after the return on, and nodes went on refusing for eight.
+//! Guards against refused requests of organisations within their limits: for ten seconds after a
+//! restart half of their requests were refused. Owners that had not yet discovered the fleet held
+//! almost nothing of an allowance, refused, and derived the time of the next request from that
+//! small share; each node then refused locally until that time. The owners refused no more from
+//! three seconds after the restart on, but nodes did so for eight seconds. A share that holds for a
+//! moment must not determine later decisions.
 
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -24,15 +22,17 @@
 const NODES: u64 = 30;
 const MS: u64 = 1_000;
 const TIMEOUT: Duration = Duration::from_millis(80);
-/// Nodes that have started find all others within this, and know then that they have.
+/// Nodes discover all others within this time after a start, and consider the discovery complete at
+/// `KNOWS_AFTER`.
 const FINDS_WITHIN: u64 = 400 * MS;
 const KNOWS_AFTER: u64 = 700 * MS;
-/// Then shares come in for a moment before anything is refused.
+/// Shares arrive for a moment after that before any request is refused.
 const DECIDES_AFTER: u64 = 950 * MS;
 const RUN: u64 = 12_000 * MS;
 
-/// An organisation that keeps to nine tenths of its rate, and the share of its requests that may be refused in the seconds
-/// after a return. A small one's come in clusters, for which the bucket is not full yet.
+/// An organisation that uses nine tenths of its rate, and the fraction of its requests that may be
+/// refused in the seconds after a restart. The requests of a small organisation come in clusters,
+/// for which the bucket is not full yet.
 #[derive(Clone, Copy)]
 struct Organisation {
     hash: u64,
@@ -58,12 +58,12 @@
     rng: StdRng,
     nodes: Vec<(AllowanceClient, AllowanceOwner)>,
     events: BinaryHeap<std::cmp::Reverse<(u64, Event)>>,
-    /// Messages under way: from, to, what.
+    /// Messages in flight: sender, receiver, message.
     messages: Vec<(u64, u64, AllowanceMessage)>,
     lost: f64,
-    /// When each ask was made, by node and number.
+    /// The organisation and time of each ask, by node and number.
     asked: std::collections::HashMap<(usize, u64), (usize, u64)>,
-    /// Requests of each organisation that were granted and refused, and their longest wait.
+    /// For each organisation the granted and the refused requests, and their longest wait.
     ended: Vec<(u32, u32, u64)>,
 }
 
@@ -80,7 +80,7 @@
         self.now < KNOWS_AFTER
     }
 
-    /// What node `to` makes of an ask.
+    /// Decision of node `to` on an ask.
     fn decide(
         &mut self,
         from: u64,
@@ -186,7 +186,7 @@
     (organisation, Some(Allowance { rate_per_s: it.rate, burst: it.rate }))
 }
 
-/// Plays the first seconds of a fleet; returns what became of each organisation's requests.
+/// Simulates the first seconds of a fleet; returns the results by organisation.
 fn play(seed: u64, lost: f64) -> Vec<(u32, u32, u64)> {
     let node = |id| (AllowanceClient::new(NodeId(id), TIMEOUT, 0), AllowanceOwner::new(NodeId(id)));
     let mut fleet = Fleet {
