--- a/crates/fleet/tests/answers_that_travel.rs
+++ b/crates/fleet/tests/answers_that_travel.rs
@@ -1,21 +1,18 @@
-//! Slots while answers travel, in virtual time.
+//! Slots while answers are in transit, in virtual time.
 //!
-//! What users saw: a download service of 25 endpoints with two slots each, asked for half of what it can do, answered 100 of
-//! 120 requests a second from the first second of a calm day on, and the others waited until they were late.
-//!
-//! Order of events: an endpoint has done its work when its answer begins; 90 KB then travel to the node that asked, on a link
-//! of 10 Mbit/s, and from there to the caller. The slot came back with the last byte, so that it was held for 0.48 s
-//! where the work takes 0.21. Cause: a slot counted as in use for as long as its answer travelled.
-//!
-//! Evidence: all 50 slots were in use in each second, 96 to 118 requests were answered in it, and 0.21 s lay between grant and
-//! answer at the asking nodes.
+//! Guards against slots that are held while an answer is in transit. A download service of 25
+//! endpoints with two slots each answered 100 of 120 requests per second, which is half of its
+//! capacity, and the others waited until their deadline. An endpoint has done its work when its
+//! answer begins; 90 KB then take time on a link of 10 Mbit/s to the asking node and again to the
+//! caller. The slot was released with the last byte, after 0.48 s instead of the 0.21 s of work, so
+//! all 50 slots were always in use.
 
 mod virtual_fleet;
 
 use virtual_fleet::{Fleet, MS, NONE, RUN, Release, Trouble, check};
 
-/// Half of what 25 endpoints with two slots can do in 0.21 s of work, with answers of 90 KB, some of 540, on links of
-/// 10 Mbit/s that carry other answers for a quarter of the time.
+/// Half of the capacity of 25 endpoints with two slots and 0.21 s of work, with answers of 90 KB,
+/// some of 540 KB, on links of 10 Mbit/s that carry other answers for a quarter of the time.
 const HALF_OF_THE_LOAD: Trouble = Trouble {
     rate: 25.0 * 2.0 / 0.21 / 2.0 / virtual_fleet::NODES as f64,
     endpoints: 25,
@@ -34,8 +31,9 @@
     check(HALF_OF_THE_LOAD, |fleet| fleet.most_queued == 0);
 }
 
-/// The ways to give a slot back, by the most requests that waited at a time at three fifths of the load. With the last byte,
-/// slots are short however fast the message is.
+/// Compares the ways to release a slot by the largest number of waiting requests at three fifths of
+/// the capacity. If slots are released with the last byte, they are short however fast the message
+/// is.
 #[test]
 fn slots_come_back_in_time_only_when_the_answer_begins() {
     let rate = HALF_OF_THE_LOAD.rate * 1.2;
