--- a/crates/fleet/tests/exchange.rs
+++ b/crates/fleet/tests/exchange.rs
@@ -64,7 +64,7 @@
 #[test]
 fn a_cut_in_one_direction_does_not_stop_a_configuration() {
     let mut net = started(6, 0.0);
-    // Node 5 can be heard but hears only node 0.
+    // Node 5 reaches all nodes but receives only from node 0.
     net.cut = (1..5).map(|i| (i, 5)).collect();
     net.read(1, 2);
     net.run(Duration::from_secs(30));
@@ -132,8 +132,9 @@
     assert_eq!(info.phase, Phase::Starting);
 }
 
-/// A fleet that starts anew agreed on who hands out slots after about two seconds; until then each node
-/// that was asked found out about every sick endpoint by itself.
+/// Guards against slow discovery: after a restart of the fleet the nodes agreed on the dispatching
+/// nodes only after about two seconds, and until then each node that was asked had to detect every
+/// unhealthy endpoint by itself.
 #[test]
 fn nodes_that_start_together_soon_know_each_other() {
     for n in [6, 40] {
@@ -145,7 +146,8 @@
     }
 }
 
-/// Each time the set of candidates changes, another node hands out slots and knows nothing yet.
+/// Each change of the set of candidates moves dispatch to another node, which has no observations
+/// yet.
 #[test]
 fn nodes_that_start_together_may_all_dispatch_and_one_that_joins_them_may_later() {
     let mut net = Net::new(5, 0.0);
@@ -155,7 +157,7 @@
     net.run(Duration::from_secs(1));
     assert_eq!((0..5).map(|i| serving(&net, i)).collect::<Vec<_>>(), [4; 5]);
     assert!(!net.nodes[0].is_newcomer(net.now));
-    // They turn ready one after the other, and nothing changes for those that ask.
+    // The nodes become ready one after the other, which does not change the set of candidates.
     for i in 0..5 {
         net.set_phase(i, Phase::Ready);
         net.run(Duration::from_millis(100));
@@ -171,10 +173,11 @@
     assert_eq!((0..5).map(|i| serving(&net, i)).collect::<Vec<_>>(), [4; 5]);
 }
 
-/// Up to where a node has read the platform.
+/// Position up to which a node has read the platform.
 const READ: Position = Position { era: 1, revision: 5 };
 
-/// One node of ten read the platform for half a minute, because the reader did not know it and never told it.
+/// Guards against a node that is unknown to the reader: one node of ten read the platform for half
+/// a minute, because the reader never announced itself to it.
 #[test]
 fn a_reader_tells_those_at_once_whom_it_has_not_known() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -235,7 +238,8 @@
     (node(0, era), node(1, 2))
 }
 
-/// What the later node makes of the word of the reader: whether it fetches, and whether its copy is proven fresh.
+/// The reaction of the later node to the reader's announcement: whether it fetches, and whether its
+/// copy is confirmed as fresh.
 fn hears_of(era: u32) -> (bool, bool) {
     let (reader, mut later) = reader_and_later(era);
     let now = Time(0) + Duration::from_secs(5);
@@ -253,8 +257,8 @@
     (fetches, later.duty().is_fresh(now))
 }
 
-/// A node that has read a later era takes no word of an earlier one, however high its revision, and follows one that has
-/// read a later one still.
+/// A node that has read a later era ignores announcements of an earlier era, however high their
+/// revisions, and follows those of an even later era.
 #[test]
 fn the_word_of_an_earlier_era_proves_nothing() {
     assert_eq!(hears_of(1), (false, false));
