--- a/crates/fleet/tests/fetch.rs
+++ b/crates/fleet/tests/fetch.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// A node that has just started and knows nothing.
+/// A node that has just started and has no copy.
 fn asker() -> NodeInfo {
     NodeInfo {
         addr: ([127, 0, 0, 1], 7400).into(),
@@ -37,7 +37,7 @@
     }
 }
 
-/// A node that serves fetches, with how each of them ended.
+/// A node that serves fetches, and a channel with the result of each fetch.
 async fn serving(backlog: Arc<Backlog>) -> (SocketAddr, mpsc::UnboundedReceiver<ServedEnding>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -62,7 +62,7 @@
 async fn a_peer_is_told_at_once_that_too_much_is_under_way() {
     let backlog = Backlog::for_link(10.0);
     let (addr, mut ended) = serving(backlog.clone()).await;
-    // More than the link carries in a moment, and alone in the backlog.
+    // More than the link carries in a moment, admitted because the backlog is empty.
     let long = backlog.admit(1_000_000).expect("nothing else is under way");
     let refused = fetch(addr, &keys(), asker()).await;
     assert!(matches!(refused, Err(FetchError::Busy)), "{refused:?}");
