--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -1,11 +1,11 @@
-//! Endpoints that say they leave while the registry lists them, in virtual time.
+//! Endpoints that announce their leaving while the registry still lists them, in virtual time.
 
 mod virtual_fleet;
 
 use policy::Notice;
 use virtual_fleet::{Fleet, MS, NONE, RUN, Says, Trouble};
 
-/// A node that was told of it sends nothing more after this time.
+/// A node that has received the announcement sends nothing after this time.
 const BOUND: u64 = 2_000 * MS;
 const FROM: u64 = 10_000 * MS;
 
