--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -1,17 +1,12 @@
-//! The exchange of many nodes whose links carry little, in virtual time.
+//! The exchange of many nodes with slow links, in virtual time.
 //!
-//! What users saw: after a configuration had grown by 1,400 routes and was followed by another one half a
-//! second later, three of 88 nodes went on handling requests by the older one for three to five seconds,
-//! and their readiness checks failed; others fetched without an end.
-//!
-//! Order of events: in each failure domain the one node that reads the platform tells the others of the new
-//! version; all of them fetch 345 KB from it at once, and again every 0.4 s while the first fetch still runs.
-//! Its link of 1.25 MB a second is full for three seconds, its own calls to the platform get no answer, and
-//! it is the last to learn of the next version.
-//!
-//! Evidence: the three nodes that read sent 1.3 to 1.9 MB a second for three seconds and completed no call to
-//! the platform meanwhile, at 2 to 4 % of their processors; of 148 fetches 60 were broken off at their limit,
-//! sixteen ran at once, and the other nodes, which had read the platform for themselves, had the next
+//! Guards against fetches that fill the link of the reader. After a configuration had grown by
+//! 1,400 routes and was followed by another one half a second later, three of 88 nodes used the
+//! older one for three to five seconds, and their readiness checks failed. In each failure domain
+//! all nodes fetched 345 KB from the reader at once, and again every 0.4 s while the first fetch
+//! still ran. The reader's link of 1.25 MB per second was full for three seconds, its own calls to
+//! the platform got no answer, and it was the last node to receive the next version. Of 148 fetches
+//! 60 reached their time limit; the nodes that had read the platform themselves had the next
 //! version within 1.2 s.
 
 use std::time::Duration;
@@ -19,9 +14,9 @@
 use resources::{Document, Priority, Repeat, Resource, Route};
 use standin::net::Net;
 
-/// What a link carries, in Mbit/s.
+/// Bandwidth of each link, in Mbit/s.
 const LINK: f64 = 10.0;
-/// What the platform acknowledged must be in force everywhere after this.
+/// A configuration that the platform has acknowledged must be in force everywhere within this time.
 const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_500);
 /// Time between two configurations in quick succession.
 const BETWEEN: Duration = Duration::from_millis(450);
@@ -31,7 +26,7 @@
     Document { version, resources, ..Document::default() }
 }
 
-/// Names without a pattern, as far as an encoding could use one.
+/// A route with names that compress badly.
 fn route(i: usize) -> Resource {
     let word = |salt: usize| {
         let mixed = (i * 31 + salt + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -57,8 +52,8 @@
     })
 }
 
-/// Publishes a configuration and right behind it another one of the same size; returns the longest time
-/// after which a node had the second one in force.
+/// Publishes a configuration and, shortly after it, another one of the same size; returns the
+/// longest time until a node had the second one in force, or `None` if some node never had.
 fn slowest(nodes: usize, routes: usize) -> Option<Duration> {
     let mut net = Net::new(nodes, 0.02).with_links(LINK);
     net.publish(document(1, 10));
