--- a/crates/fleet/tests/lost_frames.rs
+++ b/crates/fleet/tests/lost_frames.rs
@@ -1,29 +1,24 @@
 //! Slots while frames between nodes are lost, in virtual time.
 //!
-//! What users saw: a download service of 13 endpoints with three slots each, asked for a third of what it can do, kept 100 to
-//! 312 requests waiting; of 2,114 downloads 283 came in time. The same service behind few nodes with wide links served
-//! nearly all.
-//!
-//! Order of events: a download ends, and its bytes go out on the link of the node that asked for the slot; at that moment the
-//! node tells the end of the request, in one datagram, which the full link drops. The slot stays taken until the
-//! permit expires. Cause: whatever a node tells another about slots, a release or what became of a request, rested on one
-//! datagram.
-//!
-//! Evidence: on a calm day of that deployment 510 of 1,507 slots of the download service came free by expiry, 239 of
-//! 13,175 of the two services with short answers.
+//! Guards against slots that stay in use after their request has ended. A download service of 13
+//! endpoints with three slots each, at a third of its capacity, kept 100 to 312 requests waiting
+//! and answered 283 of 2,114 downloads in time. At the end of a download the asking node released
+//! the slot with a single datagram, at the moment when the bytes of the answer filled its link, and
+//! the full link dropped the datagram: 510 of the service's 1,507 slots came free only when their
+//! permits expired, compared with 239 of 13,175 at the two services with short answers.
 
 mod virtual_fleet;
 
 use virtual_fleet::{MS, NONE, RUN, Trouble, check};
 
-/// A third of what 13 endpoints with three slots can do in 0.3 s of work.
+/// A third of the capacity of 13 endpoints with three slots and 0.3 s of work.
 const A_THIRD_OF_THE_LOAD: Trouble = Trouble {
     rate: 13.0 * 3.0 / 0.3 / 3.0 / virtual_fleet::NODES as f64,
     endpoints: 13,
     slots: 3,
     work: 300 * MS,
     fails_from: RUN,
-    // All that is under way ends.
+    // Leaves time for all pending requests to end.
     requests_until: RUN - 5_000 * MS,
     ..NONE
 };
