--- a/crates/fleet/tests/rate_limits.rs
+++ b/crates/fleet/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! The rate limits that endpoints name, summed over the whole fleet, in virtual time.
+//! Rate limits advertised by endpoints, summed over the whole fleet, in virtual time.
 
 mod virtual_fleet;
 
@@ -7,11 +7,11 @@
 
 /// Sends are counted over this time.
 const WINDOW: u64 = 4_000 * MS;
-/// The fleet has so long to hear of a limit.
+/// Time for the fleet to receive a limit.
 const CONTACT: u64 = 3_000 * MS;
-/// A node that was told a moment ago may have a send under way.
+/// A node that received the limit a moment ago may still have a send in progress.
 const UNDER_WAY: u64 = 500 * MS;
-/// Sends in a window beyond one and a half times what the limit allows.
+/// Tolerated sends in a window beyond one and a half times the limit.
 const SLACK: f64 = 5.0;
 
 const FROM: u64 = 10_000 * MS;
@@ -19,19 +19,19 @@
 const PER_S: f64 = 2.0;
 const ENDPOINTS: usize = 4;
 
-/// Endpoints name a limit.
+/// Endpoints that advertise a limit.
 fn limited(endpoints: usize, per_s: f64) -> Trouble {
     let notice = Notice::RateLimit(RateLimit::from_per_second(per_s));
     let says = Says { endpoints, notice, from: FROM, until: UNTIL };
     Trouble { fails_from: RUN, says: Some(says), ..NONE }
 }
 
-/// A few endpoints name a limit.
+/// A few endpoints that advertise a limit.
 fn few_limited() -> Trouble {
     limited(ENDPOINTS, PER_S)
 }
 
-/// Most sends in a window to one endpoint, from nodes that knew of its limit.
+/// Largest number of sends in a window to one endpoint, from nodes that knew its limit.
 fn most_in_a_window(sends: &[Arrival], endpoint: usize) -> usize {
     let counts = |it: &&Arrival| {
         let is_known = it.known_for.is_some_and(|it| it >= UNDER_WAY);
