--- a/crates/fleet/tests/repeats.rs
+++ b/crates/fleet/tests/repeats.rs
@@ -1,28 +1,19 @@
-//! The budget for repeats over the whole fleet while the nodes that hand out slots are late, in virtual time.
+//! The fleet-wide budget for repeats while the dispatching nodes answer late or change, in virtual
+//! time.
 //!
-//! What users saw: 1,272 sends beyond the first of their request reached a service in ten seconds, for 5,485
-//! requests; 1,253 were allowed, and the budget is meant to stop at 1,065. It was a day on which a sixth of the
-//! endpoints had fallen silent and many turned work away.
+//! Guards against repeats beyond the budget when asks move between dispatching nodes. Nodes that
+//! answered late were passed over and came back, and every late ask moved to the next node. Each of
+//! these nodes counted the first send of the request, and each held the fixed share of all nodes; a
+//! request whose first send reached no endpoint asked again as a new one and was counted once more.
+//! A service got 1,272 repeats in ten seconds for 5,485 requests; 1,253 were allowed, and the
+//! budget should have stopped at 1,065.
 //!
-//! Order of events: dispatching nodes are weak and answer late, so they are passed over and come back, and
-//! each ask that is late is put to the next one. Every one of them counts the first send of the request, and
-//! every one of them holds the fixed part of all nodes. A request whose first send reached nobody asks
-//! again as a new one and is counted once more.
-//!
-//! Evidence, from a day of our own: in ten seconds 7,000 times a dispatching node was taken for lost, one and the
-//! same 3,151 times; five nodes counted first sends for one service, and three of them held the fixed part of 77, 85
-//! and 86 nodes of 88 at the same moment.
-//!
-//! Seen again on a later day and another fleet: the bound was exceeded although each node that hands out slots kept to it.
-//! Order of events: for ten seconds nearly all goes well; then a service turns much of its work away and the node that hands
-//! out its slots pays for repeats with the first sends of the ten seconds before; a second later another node
-//! takes its place, or all processes begin anew, and pays with the first sends of the ten seconds after. A window that lies
-//! across the change holds both. Cause: the share of the requests was bounded in a window by whoever granted, and
-//! what was spent was known to that node alone.
-//!
-//! Evidence: days on which a service turns away 55 % from 8.0 s on and all processes are killed at 11.5 s broke the bound
-//! on two fleets (1,016 repeats for 4,007 requests, 957 allowed), the same day without the kill did not; and in this file
-//! one change of the granting node lets through half as much again as is allowed.
+//! Also guards against repeats beyond the budget when the dispatching node changes or all processes
+//! restart. When a service starts to turn its work away, the dispatching node pays for repeats with
+//! the first sends of the ten seconds before, and its successor with those of the ten seconds
+//! after; a window across the change contains both. Each node kept to the budget, but none knew
+//! what the other one had spent: there were 1,016 repeats for 4,007 requests, where 957 are
+//! allowed.
 
 mod virtual_fleet;
 
@@ -30,17 +21,18 @@
 
 use virtual_fleet::{Fleet, LIMITS, MS, NONE, RUN, Trouble};
 
-/// Repeats in a window, those allowed, and its end.
+/// Repeats in a window, the allowed number, and the end of the window.
 type Window = (usize, f64, u64);
 
-/// The windows with the most repeats beyond what is allowed, and with the most repeats.
+/// The windows with the most repeats beyond the allowed number, and with the most repeats.
 fn worst_and_busiest(fleet: &Fleet) -> (Window, Window) {
     let window = LIMITS.window.as_micros() as u64;
     let count = |times: &[u64], end: u64| {
         times.iter().filter(|it| **it > end.saturating_sub(window) && **it <= end).count()
     };
     let at = |end: u64| {
-        // As many as in the window, or in the one half a window or a whole one before it.
+        // The largest number of first sends in the window, half a window earlier or a whole window
+        // earlier.
         let before = [end, end.saturating_sub(window / 2), end.saturating_sub(window)];
         let first = before.map(|it| count(&fleet.first, it)).into_iter().max().unwrap_or(0);
         (count(&fleet.repeats, end), first as f64 * LIMITS.ratio + LIMITS.extra, end)
@@ -61,7 +53,7 @@
         let ((repeats, allowed, end), (most, allowed_then, _)) = worst_and_busiest(&fleet);
         let end = end as f64 / 1e6;
         seen.push_back(format!("seed {seed}: {repeats} repeats, allowed {allowed}, until {end} s"));
-        // A bound that nothing comes near to would prove nothing.
+        // A bound that is never approached would prove nothing.
         assert!(most as f64 > allowed_then / 3.0, "{most} of {allowed_then}: {seen:#?}");
         assert!(repeats as f64 <= allowed, "{seen:#?}");
     }
