--- a/crates/fleet/tests/rests.rs
+++ b/crates/fleet/tests/rests.rs
@@ -1,4 +1,4 @@
-//! Endpoints that turn requests away and ask the node for rest, in virtual time.
+//! Endpoints that turn requests away and ask the node to back off, in virtual time.
 
 mod virtual_fleet;
 
@@ -8,13 +8,13 @@
 use virtual_fleet::{Fleet, MS, NONE, RUN, Says, Trouble};
 
 const REST: Duration = Duration::from_secs(3);
-/// A request may be under way, and two more may come before the end of the rest.
+/// A request may be in progress, and two more may follow before the back-off ends.
 const UNDER_WAY: u64 = 500 * MS;
 const BEFORE_THE_END: usize = 2;
 const FROM: u64 = 10_000 * MS;
 const UNTIL: u64 = 20_000 * MS;
 
-/// A third of the endpoints turn all requests away for ten seconds; the service has slots to spare.
+/// A third of the endpoints turn all requests away for ten seconds; the service has enough slots.
 fn resting() -> Trouble {
     let says = Says { endpoints: 5, notice: Notice::Rest(REST), from: FROM, until: UNTIL };
     Trouble {
