--- a/crates/fleet/tests/returns.rs
+++ b/crates/fleet/tests/returns.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time whose platform comes back from an older copy: who knows of it when, and what is left in use.
+//! A fleet in virtual time whose platform comes back from an older copy: when nodes notice the
+//! return, and which endpoints remain in use.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,16 +9,17 @@
 use standin::net::Net;
 
 const NODES: usize = 40;
-/// Nodes with good links, and what they carry.
+/// Nodes with fast links, and their bandwidth in Mbit/s.
 const STRONG: (usize, u32) = (10, 200);
 const WEAK: u32 = 20;
-/// Endpoints before the return, those of them that the older copy has, and those that come after it.
+/// Endpoints before the return, the number of them in the older copy, and endpoints registered
+/// after the return.
 const BEFORE: usize = 100;
 const IN_COPY: usize = 80;
 const AFTER: usize = 30;
-/// What changes is to be in force everywhere after this.
+/// Changes have to be in force everywhere within this time.
 const IN_FORCE: Duration = Duration::from_secs(2);
-/// An endpoint that is lost is gone after this.
+/// An endpoint that is lost is gone after this time.
 const GONE: Duration = Duration::from_secs(2);
 
 fn endpoint(id: String) -> RegistryChange {
@@ -38,15 +40,15 @@
     (0..n).map(move |i| format!("{prefix}-{i}"))
 }
 
-/// What happens at the moment of the return.
+/// Faults at the time of the return.
 #[derive(Clone, Copy, Debug, Default)]
 struct Trouble {
     loss: f64,
-    /// The platform comes back once more, a moment later.
+    /// The platform comes back a second time, a moment later.
     returns_again: bool,
-    /// So many nodes start anew.
+    /// Number of nodes that restart.
     restarts: usize,
-    /// So many nodes are cut off from all others.
+    /// Number of nodes that are cut off from all others.
     cut_off: usize,
 }
 
@@ -60,7 +62,7 @@
     net
 }
 
-/// Endpoints that a node gives work to.
+/// Endpoints to which a node gives work.
 fn in_use(net: &Net, i: usize) -> BTreeSet<Name> {
     let there = net.nodes[i].replica().registrations();
     there.filter(|it| it.endpoint.standing == Standing::Present).map(|it| it.endpoint.id).collect()
@@ -76,11 +78,11 @@
     }
     net.come_back(IN_COPY);
     (0..trouble.restarts).for_each(|i| net.restart(i * 3));
-    // The last ones, which read the platform for themselves if nobody tells them.
+    // The last nodes, which read the platform themselves when no reader reaches them.
     for i in NODES - trouble.cut_off..NODES {
         net.cut.extend((0..NODES).flat_map(|j| [(i, j), (j, i)]));
     }
-    // Revisions that were known are given out again.
+    // Known revisions are assigned again.
     net.publish_endpoints(ids("new", AFTER).map(endpoint));
     net.run_on_links(IN_FORCE);
     let new: BTreeSet<Name> = ids("new", AFTER).map(|it| it.as_str().into()).collect();
