--- a/crates/fleet/tests/start.rs
+++ b/crates/fleet/tests/start.rs
@@ -1,5 +1,6 @@
-//! What the start of a fleet costs the platform and the links between nodes, in virtual time: with the number of
-//! failure domains and of endpoints, not with their product with the number of nodes.
+//! Cost of the start of a fleet for the platform and for the links between nodes, in virtual time.
+//! The cost grows with the number of failure domains and of endpoints, not with their product with
+//! the number of nodes.
 
 use std::time::Duration;
 
@@ -7,10 +8,10 @@
 use resources::{Document, Endpoint, Position, Registration, RegistryChange, Standing};
 use standin::net::Net;
 
-/// Links of the few strong nodes and of all others, in Mbit/s.
+/// Bandwidth of the fast links and of all others, in Mbit/s.
 const STRONG: u32 = 200;
 const WEAK: u32 = 20;
-/// Strong nodes: three in each of three failure domains.
+/// Nodes with fast links: three in each of three failure domains.
 const STRONG_NODES: usize = 9;
 
 fn endpoint(i: usize) -> RegistryChange {
@@ -38,8 +39,7 @@
     net
 }
 
-/// Calls in three seconds, and the time after which all nodes know the
-/// endpoints.
+/// Platform calls in three seconds, and the time after which all nodes know the endpoints.
 fn cost(net: &mut Net, nodes: usize) -> (u64, Duration) {
     let (calls, from) = (net.platform_calls(), net.now);
     net.endpoints_at.clear();
