--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time whose nodes ask each other for the slots of one service, over links that lose frames and
-//! bring them late.
+//! Simulation of a fleet in virtual time: nodes ask each other for the slots of one service, over
+//! links that lose and delay frames.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
@@ -19,54 +19,54 @@
 const FIRST_PORT: u16 = 1_000;
 pub const LIMITS: BudgetLimits =
     BudgetLimits { ratio: 0.2, extra: 40.0, window: Duration::from_secs(10) };
-/// An ask without an answer for this long is put to the next node.
+/// An unanswered ask is sent to the next node after this time.
 const PATIENCE: Duration = Duration::from_millis(40);
 pub const MS: u64 = 1_000;
-/// Length of a run.
+/// Duration of a run.
 pub const RUN: u64 = 35_000 * MS;
-/// Share of frames that a full link loses.
+/// Fraction of the frames that a full link loses.
 const LOST_ON_FULL_LINK: f64 = 0.8;
-/// Time that each request has.
+/// Time limit of each request.
 const TIME_LIMIT: Duration = Duration::from_secs(4);
 
-/// What is asked for, and how badly things go.
+/// Load and faults of a run.
 #[derive(Clone, Copy)]
 pub struct Trouble {
-    /// Requests a second at each node.
+    /// Requests per second at each node.
     pub rate: f64,
     /// Endpoints of the service.
     pub endpoints: u16,
-    /// Slots of each of them.
+    /// Slots of each endpoint.
     pub slots: u32,
-    /// For how long a request is at an endpoint.
+    /// Time that a request spends at an endpoint.
     pub work: u64,
-    /// No more requests come from then on.
+    /// No request arrives after this time.
     pub requests_until: u64,
-    /// Share of frames that are late, by up to a tenth of a second.
+    /// Fraction of the frames that are delayed, by up to a tenth of a second.
     pub late: f64,
-    /// Share of frames that are lost.
+    /// Fraction of the frames that are lost.
     pub lost: f64,
-    /// For how long an answer fills the link of the node that relays it.
+    /// How long an answer fills the link of the node that relays it.
     pub answer_fills_link: u64,
-    /// Time from the beginning of an answer to its last byte at the node that asked for it.
+    /// Time from the beginning of an answer to its last byte at the asking node.
     pub answer_travels: u64,
-    /// Share of answers that are six times as long.
+    /// Fraction of the answers that are six times as long.
     pub long_answers: f64,
-    /// When the node that asked for a slot says that it may be used again.
+    /// When the asking node releases the slot.
     pub release: Release,
-    /// Share of first sends that reach nobody.
+    /// Fraction of the first sends that reach no endpoint.
     pub unreached: f64,
     /// Requests before this time are answered, all later ones fail.
     pub fails_from: u64,
-    /// From then on the node that hands out the slots is cut off from all others.
+    /// From this time on the dispatching node is cut off from all others.
     pub cut_off_at: Option<u64>,
-    /// All processes begin anew, this many times, one second apart.
+    /// Time of the first restart of all processes and the number of restarts, one second apart.
     pub restarts_from: Option<(u64, u64)>,
-    /// What some endpoints say of themselves.
+    /// Notices that some endpoints send.
     pub says: Option<Says>,
 }
 
-/// The first endpoints say something of themselves in all their answers for a while.
+/// The first `endpoints` endpoints attach a notice to all their answers between two times.
 #[derive(Clone, Copy)]
 pub struct Says {
     pub endpoints: usize,
@@ -75,13 +75,13 @@
     pub until: u64,
 }
 
-/// When the node that asked for a slot says that the endpoint has done its work.
+/// When the asking node releases the slot of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 #[allow(dead_code, reason = "each program of tests plays some of the ways")]
 pub enum Release {
-    /// With the last byte of the answer, whose bytes then go out on the same link.
+    /// With the last byte of the answer, after the bytes that leave on the same link.
     LastByte,
-    /// With the last byte, ahead of the bytes that go out.
+    /// With the last byte of the answer, before the bytes that leave on the same link.
     LastByteFirst,
     /// When the answer begins.
     Beginning,
@@ -140,7 +140,7 @@
     }
 }
 
-/// What happens next, earliest first.
+/// Next events, earliest first.
 enum Event {
     Request(usize),
     Restart,
@@ -149,7 +149,7 @@
         to: usize,
         message: Message,
     },
-    /// A send has ended in a failure that allows another one.
+    /// A send ended in a failure that allows another one.
     Failed {
         node: usize,
         id: PermitId,
@@ -161,7 +161,7 @@
         id: PermitId,
         place: Place,
     },
-    /// A send is answered whole; its answer is so many times as long as most.
+    /// The answer to a send is complete; `length` is a multiple of the usual length.
     Answered {
         node: usize,
         id: PermitId,
@@ -170,9 +170,9 @@
     },
 }
 
-/// Interval at which open slots are renewed.
+/// Interval at which slots in use are renewed.
 const RENEW: u64 = 1_000 * MS;
-/// Length of a long answer, in usual ones.
+/// Length of a long answer, as a multiple of the usual length.
 const LONG: u64 = 6;
 
 struct Due(u64, u64, Event);
@@ -201,15 +201,15 @@
     own: Dispatcher,
     /// Picks for this node alone.
     direct: Dispatcher,
-    /// Slots that its requests use.
+    /// Slots used by the requests of this node.
     open: BTreeMap<PermitId, Open>,
-    /// Until when answers from endpoints fill its link.
+    /// Until when answers from endpoints fill the link.
     receives_until: u64,
-    /// Until when its link is full of answers to callers.
+    /// Until when answers to callers fill the link.
     link_full_until: u64,
 }
 
-/// A slot that a request uses.
+/// A slot in use by a request.
 #[derive(Clone, Copy)]
 struct Open {
     place: Place,
@@ -241,7 +241,7 @@
 }
 
 impl Node {
-    /// Its dispatcher that grants at a place that is no other node.
+    /// The local dispatcher that grants slots at `place`.
     fn dispatcher(&mut self, place: Place) -> &mut Dispatcher {
         if place == Place::Own { &mut self.own } else { &mut self.direct }
     }
@@ -255,44 +255,44 @@
     trouble: Trouble,
     rng: StdRng,
     next: u64,
-    /// Whether each request that waits for a slot has been sent before, by its permit.
+    /// Number of endpoints that each request waiting for a slot has reached, by its permit.
     requests: std::collections::HashMap<PermitId, u32>,
-    /// When requests came, and when sends beyond their first went out.
+    /// Arrival times of requests, and times of their sends beyond the first.
     pub first: Vec<u64>,
     pub repeats: Vec<u64>,
-    /// Requests that were answered.
+    /// Number of answered requests.
     pub answered: u32,
-    /// Most requests that waited for a slot at one time.
+    /// Largest number of requests that waited for a slot at the same time.
     pub most_queued: usize,
-    /// What the dispatchers have counted.
+    /// Counts of the dispatchers.
     pub counted: Counted,
-    /// When each node was first told of an endpoint.
+    /// When each node first received a notice of an endpoint.
     told: BTreeMap<(usize, usize), u64>,
-    /// Sends to endpoints while they say something of themselves.
+    /// Sends to endpoints while these send notices.
     pub sends: Vec<Arrival>,
-    /// When a node was asked for rest by an endpoint.
+    /// Time, node and endpoint of each request to back off.
     pub asked_for_rest: Vec<(u64, usize, usize)>,
 }
 
-/// A send to an endpoint that says something of itself.
+/// A send to an endpoint that currently sends notices.
 #[derive(Clone, Copy, Debug)]
 #[allow(dead_code, reason = "each program of tests looks at runs in its own way")]
 pub struct Arrival {
     pub at: u64,
     pub node: usize,
     pub endpoint: usize,
-    /// Time since its node was first told, if it was.
+    /// Time since the node first received a notice of the endpoint, if it did.
     pub known_for: Option<u64>,
 }
 
-/// Counts of all dispatchers.
+/// Sums over all dispatchers.
 #[derive(Debug, Default)]
 pub struct Counted {
     pub answered: u32,
     pub expired: u32,
 }
 
-/// Plays a trouble with several seeds, each of which has to end in what holds.
+/// Runs the simulation with several seeds and checks that `holds` is true after each run.
 #[allow(dead_code, reason = "each program of tests looks at runs in its own way")]
 #[track_caller]
 pub fn check(trouble: Trouble, holds: impl Fn(&Fleet) -> bool) {
@@ -383,7 +383,7 @@
         }
     }
 
-    /// Keeps the slots of long requests alive.
+    /// Extends the lifetime of the slots of long requests.
     fn renew(&mut self, i: usize) {
         let now = self.now();
         for (id, open) in self.nodes[i].open.clone() {
@@ -439,7 +439,7 @@
         }
     }
 
-    /// All processes are killed: what was under way is lost, and nobody knows what was spent.
+    /// Restarts all processes: requests in progress are lost, and no node knows what was spent.
     fn restart(&mut self) {
         let now = self.now();
         self.nodes = (0..NODES).map(|i| Node::new(now, NodeId(i), &self.trouble)).collect();
@@ -449,13 +449,13 @@
         self.events.retain(is_kept);
     }
 
-    /// Whether frames between two nodes are lost, because one of them is cut off.
+    /// Whether frames between two nodes are lost because one of them is cut off.
     fn is_cut(&self, from: usize, to: usize) -> bool {
         let first = self.directory.candidates(SERVICE)[0].0 as usize;
         self.trouble.cut_off_at.is_some_and(|at| self.now >= at) && (from == first || to == first)
     }
 
-    /// A request looks for a slot. `reached` endpoints have seen it.
+    /// Asks for a slot for a request that has reached `reached` endpoints.
     fn wish(&mut self, i: usize, reached: u32, send: SendKind) {
         self.next += 1;
         let id = PermitId { node: NodeId(i as u64), seq: self.next };
@@ -591,7 +591,7 @@
         action.into_iter().for_each(|it| self.act(i, it));
     }
 
-    /// The request goes out and is answered or fails.
+    /// Sends the request, which is answered or fails.
     fn granted(&mut self, i: usize, id: PermitId, grant: &Grant, place: Place) {
         let (now, direct) = (self.now(), &self.nodes[i].direct);
         if direct.is_closed(now, id.node, &grant.endpoint, grant.started_ms) {
@@ -621,7 +621,7 @@
         self.after(work, event);
     }
 
-    /// A slot at an endpoint that wants nothing from this node goes back, and another one is asked for.
+    /// Gives back a slot at an endpoint that is closed for this node, and asks for another one.
     fn give_back(&mut self, i: usize, id: PermitId, place: Place) {
         let now = self.now();
         match place {
@@ -639,14 +639,14 @@
         self.wish(i, reached, send);
     }
 
-    /// What an endpoint says of itself now.
+    /// The notice that an endpoint currently sends.
     fn said_by(&self, endpoint: usize) -> Option<Notice> {
         let it = self.trouble.says?;
         let is_said = endpoint < it.endpoints && (it.from..it.until).contains(&self.now);
         is_said.then_some(it.notice)
     }
 
-    /// An answer tells its node what the endpoint says of itself.
+    /// Processes the notice that an endpoint sends with an answer.
     fn hear(&mut self, i: usize, id: PermitId) {
         let Some(open) = self.nodes[i].open.get(&id).copied() else { return };
         let said = self.said_by(open.endpoint);
@@ -668,7 +668,7 @@
         }
     }
 
-    /// The answer begins to travel.
+    /// Begins the transfer of an answer.
     fn began(&mut self, i: usize, id: PermitId, place: Place) {
         self.hear(i, id);
         let is_long = self.rng.random_bool(self.trouble.long_answers);
@@ -676,7 +676,7 @@
         if self.trouble.answer_travels > 0 && self.trouble.release == Release::Beginning {
             self.tell_beginning(i, id, place);
         }
-        // One answer after the other comes in on the link.
+        // Answers arrive on the link one after the other.
         let link = &mut self.nodes[i].receives_until;
         *link = self.now.max(*link) + length * self.trouble.answer_travels;
         let travels = *link - self.now;
@@ -698,13 +698,13 @@
         }
     }
 
-    /// An answer goes out to its caller, behind those before it.
+    /// Sends an answer to its caller, after the answers before it.
     fn fill_link(&mut self, node: usize, length: u64) {
         let link = &mut self.nodes[node].link_full_until;
         *link = self.now.max(*link) + length * self.trouble.answer_fills_link;
     }
 
-    /// The slot goes back to whoever granted it.
+    /// Gives a slot back to the dispatcher that granted it.
     fn end(&mut self, i: usize, id: PermitId, place: Place, kind: Kind) {
         let took = Duration::from_micros(self.trouble.work);
         let now = self.now();
