--- a/crates/fleet/tests/waits.rs
+++ b/crates/fleet/tests/waits.rs
@@ -1,4 +1,5 @@
-//! How old what a node uses can get while the platform answers it and others of its failure domain fall silent.
+//! Bounds the age of a node's state while the platform answers the node and other nodes of its
+//! failure domain fall silent.
 
 use std::time::Duration;
 
@@ -6,12 +7,12 @@
 use policy::Time;
 use standin::net::Net;
 
-/// A configuration is in force this long after the platform has acknowledged it.
+/// A configuration is in force this long after the acknowledgement of the platform.
 const IN_FORCE: Duration = Duration::from_secs(2);
-/// Time between two looks.
+/// Interval between checks.
 const STEP: Duration = Duration::from_millis(50);
 
-/// Nodes that have configuration 1, and the readers among them, which have just read.
+/// Nodes with configuration 1, and the readers among them, which have just read.
 fn settled(n: usize) -> (Net, Vec<usize>) {
     let mut net = Net::new(n, 0.0);
     (0..n).for_each(|i| net.read(i, 1));
@@ -26,7 +27,8 @@
     (0..net.nodes.len()).filter(reads).collect()
 }
 
-/// The platform does not answer `silent` from now on, and after `told_for` nobody hears them any more.
+/// From now on the platform does not answer the `silent` nodes, and after `told_for` none of their
+/// messages arrive any more.
 fn fall_silent(net: &mut Net, silent: &[usize], told_for: Duration, look: impl Fn(&Net, Time)) {
     let start = net.now;
     let n = net.nodes.len();
@@ -78,7 +80,7 @@
 fn a_node_that_cannot_get_a_newer_configuration_does_not_take_its_own_for_the_newest() {
     let (mut net, readers) = settled(12);
     let behind = (0..12).find(|i| !readers.contains(i)).unwrap();
-    // It hears all others and reaches nobody.
+    // The node receives from all others and reaches none of them.
     net.cut = (0..12).map(|j| (behind, j)).collect();
     readers.iter().for_each(|i| net.read(*i, 2));
     for _ in 0..8 {
