--- a/crates/fleet/tests/allowances_after_a_return.rs
+++ b/crates/fleet/tests/allowances_after_a_return.rs
@@ -23,12 +23,12 @@
 const MS: u64 = 1_000;
 const TIMEOUT: Duration = Duration::from_millis(80);
 /// Nodes discover all others within this time after a start, and consider the discovery complete at
-/// `KNOWS_AFTER`.
-const FINDS_WITHIN: u64 = 400 * MS;
-const KNOWS_AFTER: u64 = 700 * MS;
+/// `DISCOVERY_COMPLETE_AFTER`.
+const DISCOVERED_WITHIN: u64 = 400 * MS;
+const DISCOVERY_COMPLETE_AFTER: u64 = 700 * MS;
 /// Shares arrive for a moment after that before any request is refused.
-const DECIDES_AFTER: u64 = 950 * MS;
-const RUN: u64 = 12_000 * MS;
+const SETTLED_AFTER: u64 = 950 * MS;
+const RUN_LENGTH: u64 = 12_000 * MS;
 
 /// An organisation that uses nine tenths of its rate, and the fraction of its requests that may be
 /// refused in the seconds after a restart. The requests of a small organisation come in clusters,
@@ -69,15 +69,17 @@
 
 impl Fleet {
     fn owners(&self) -> Vec<NodeId> {
-        let knows = |id: u64| self.now >= FINDS_WITHIN * id / NODES;
+        let is_discovered = |id: u64| self.now >= DISCOVERED_WITHIN * id / NODES;
         let capacity = |id| if id < 6 { 500 } else { 100 };
-        let known: Vec<_> =
-            (0..NODES).filter(|it| knows(*it)).map(|it| (NodeId(it), capacity(it))).collect();
+        let known: Vec<_> = (0..NODES)
+            .filter(|it| is_discovered(*it))
+            .map(|it| (NodeId(it), capacity(it)))
+            .collect();
         owners(&known)
     }
 
-    fn is_finding(&self) -> bool {
-        self.now < KNOWS_AFTER
+    fn is_discovering(&self) -> bool {
+        self.now < DISCOVERY_COMPLETE_AFTER
     }
 
     /// Decision of node `to` on an ask.
@@ -91,9 +93,9 @@
     ) -> Decision {
         let (now, from) = (Time(self.now), NodeId(from));
         match self.now {
-            it if it < KNOWS_AFTER => Decision::NotYet,
+            it if it < DISCOVERY_COMPLETE_AFTER => Decision::NotYet,
             it => {
-                let is_settled = it >= DECIDES_AFTER;
+                let is_settled = it >= SETTLED_AFTER;
                 let phase = if is_settled { OwnerPhase::Settled } else { OwnerPhase::Settling };
                 self.nodes[to].1.ask(now, from, seq, bucket(organisation), entrusted, phase)
             }
@@ -143,7 +145,7 @@
                 let action = self.nodes[to].0.answer(now, NodeId(from), seq, decision);
                 action.into_iter().for_each(|it| self.act(to, it));
             }
-            AllowanceMessage::Entrust(_) if self.is_finding() => {}
+            AllowanceMessage::Entrust(_) if self.is_discovering() => {}
             AllowanceMessage::Ask { seq, organisation, entrusted } => {
                 let decision = self.decide(from, to, seq, organisation, &entrusted);
                 self.send(to as u64, from, AllowanceMessage::Answer { seq, decision });
@@ -157,7 +159,7 @@
     fn tick(&mut self, i: usize) {
         let (now, owners) = (Time(self.now), self.owners());
         self.nodes[i].1.buckets.set_nodes(now, NODES as usize);
-        if !self.is_finding() {
+        if !self.is_discovering() {
             let (client, owner) = &mut self.nodes[i];
             client.know_fleet(now, &owners);
             let entrusted = client.entrusted(now, &owners, NodeId(i as u64));
@@ -182,12 +184,12 @@
 }
 
 fn bucket(organisation: u64) -> (u64, Option<Allowance>) {
-    let it = ORGANISATIONS.iter().find(|it| it.hash == organisation).expect("it is one of these");
+    let it = ORGANISATIONS.iter().find(|it| it.hash == organisation).expect("known organisation");
     (organisation, Some(Allowance { rate_per_s: it.rate, burst: it.rate }))
 }
 
 /// Simulates the first seconds of a fleet; returns the results by organisation.
-fn play(seed: u64, lost: f64) -> Vec<(u32, u32, u64)> {
+fn simulate(seed: u64, lost: f64) -> Vec<(u32, u32, u64)> {
     let node = |id| (AllowanceClient::new(NodeId(id), TIMEOUT, 0), AllowanceOwner::new(NodeId(id)));
     let mut fleet = Fleet {
         now: 0,
@@ -203,7 +205,7 @@
     (0..ORGANISATIONS.len()).for_each(|i| fleet.after(0, Event::Request(i)));
     while let Some(std::cmp::Reverse((at, event))) = fleet.events.pop() {
         fleet.now = at;
-        if at >= RUN {
+        if at >= RUN_LENGTH {
             break;
         }
         match event {
@@ -216,11 +218,11 @@
 }
 
 #[test]
-fn organisations_within_their_rate_are_served_soon_after_a_return_of_all() {
+fn organisations_within_their_rate_are_served_soon_after_a_restart_of_all() {
     for lost in [0.0, 0.05, 1.0 / 3.0] {
         let mut sums = vec![(0, 0, 0); ORGANISATIONS.len()];
         for seed in 1..=5 {
-            for (sum, it) in sums.iter_mut().zip(play(seed, lost)) {
+            for (sum, it) in sums.iter_mut().zip(simulate(seed, lost)) {
                 *sum = (sum.0 + it.0, sum.1 + it.1, it.2.max(sum.2));
             }
         }
--- a/crates/fleet/tests/answers_that_travel.rs
+++ b/crates/fleet/tests/answers_that_travel.rs
@@ -9,25 +9,25 @@
 
 mod virtual_fleet;
 
-use virtual_fleet::{Fleet, MS, NONE, RUN, Release, Trouble, check};
+use virtual_fleet::{Fleet, MS, NO_FAULTS, RUN_LENGTH, Release, Scenario, check};
 
 /// Half of the capacity of 25 endpoints with two slots and 0.21 s of work, with answers of 90 KB,
 /// some of 540 KB, on links of 10 Mbit/s that carry other answers for a quarter of the time.
-const HALF_OF_THE_LOAD: Trouble = Trouble {
+const HALF_OF_THE_LOAD: Scenario = Scenario {
     rate: 25.0 * 2.0 / 0.21 / 2.0 / virtual_fleet::NODES as f64,
     endpoints: 25,
     slots: 2,
-    work: 210 * MS,
-    answer_travels: 100 * MS,
+    service_time: 210 * MS,
+    answer_transit: 100 * MS,
     answer_fills_link: 72 * MS,
     long_answers: 0.05,
-    fails_from: RUN,
-    requests_until: RUN - 5_000 * MS,
-    ..NONE
+    fails_from: RUN_LENGTH,
+    requests_until: RUN_LENGTH - 5_000 * MS,
+    ..NO_FAULTS
 };
 
 #[test]
-fn nobody_waits_at_half_of_the_load_while_answers_travel() {
+fn no_request_waits_at_half_of_the_load_while_answers_are_in_transit() {
     check(HALF_OF_THE_LOAD, |fleet| fleet.most_queued == 0);
 }
 
@@ -38,7 +38,7 @@
 fn slots_come_back_in_time_only_when_the_answer_begins() {
     let rate = HALF_OF_THE_LOAD.rate * 1.2;
     let most_queued = |release| {
-        let mut fleet = Fleet::new(1, Trouble { rate, release, ..HALF_OF_THE_LOAD });
+        let mut fleet = Fleet::new(1, Scenario { rate, release, ..HALF_OF_THE_LOAD });
         fleet.run();
         fleet.most_queued
     };
@@ -47,17 +47,17 @@
 }
 
 #[test]
-fn no_slot_expires_while_answers_travel_and_frames_are_lost() {
+fn no_slot_expires_while_answers_are_in_transit_and_frames_are_lost() {
     for (lost, late) in [(0.0, 0.0), (0.05, 0.2)] {
-        let trouble = Trouble { lost, late, ..HALF_OF_THE_LOAD };
-        check(trouble, |fleet| fleet.counted.expired == 0);
+        let scenario = Scenario { lost, late, ..HALF_OF_THE_LOAD };
+        check(scenario, |fleet| fleet.counted.expired == 0);
     }
 }
 
 #[test]
-fn each_answer_counts_once_while_answers_travel_and_frames_are_lost() {
+fn each_answer_counts_once_while_answers_are_in_transit_and_frames_are_lost() {
     for (lost, late) in [(0.05, 0.2), (1.0 / 3.0, 0.0)] {
-        let trouble = Trouble { lost, late, answer_fills_link: 0, ..HALF_OF_THE_LOAD };
-        check(trouble, |fleet| fleet.counted.answered == fleet.answered);
+        let scenario = Scenario { lost, late, answer_fills_link: 0, ..HALF_OF_THE_LOAD };
+        check(scenario, |fleet| fleet.counted.answered == fleet.answered);
     }
 }
--- a/crates/fleet/tests/exchange.rs
+++ b/crates/fleet/tests/exchange.rs
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn each_failure_domain_settles_on_one_reader() {
+fn each_failure_domain_converges_on_one_reader() {
     let mut net = started(40, 0.0);
     net.run_with_platform(Duration::from_secs(5), 1);
     assert_eq!(net.readers(), 3);
 }
 
 #[test]
-fn when_the_readers_cannot_be_heard_others_step_in() {
+fn other_nodes_take_over_when_the_readers_cannot_be_reached() {
     let mut net = started(12, 0.0);
     let readers: Vec<usize> =
         (0..12).filter(|i| net.nodes[*i].duty().reads(net.now) == Reads::Everything).collect();
@@ -57,7 +57,7 @@
         net.control_bytes = 0;
         net.run_with_platform(Duration::from_secs(20), 1);
         let per_node = net.control_bytes / n as u64 / 20;
-        assert!(per_node <= 5_000, "{n} nodes: {per_node} bytes a second");
+        assert!(per_node <= 5_000, "{n} nodes: {per_node} bytes per second");
     }
 }
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_restarted_node_learns_from_peers_what_the_platform_does_not_tell() {
+fn a_restarted_node_fetches_from_peers_what_the_platform_does_not_serve() {
     let mut net = started(5, 0.1);
     net.read(0, 2);
     net.run(Duration::from_secs(5));
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_node_that_hears_nobody_reads_for_itself() {
+fn a_node_that_receives_from_no_other_reads_the_platform_itself() {
     let mut net = started(5, 0.0);
     net.cut = (0..5).map(|i| (i, 3)).collect();
     net.run_with_platform(Duration::from_secs(3), 2);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn word_of_an_endpoint_that_is_out_reaches_every_node() {
+fn a_verdict_reaches_every_node() {
     let mut net = started(40, 0.0);
     let endpoint = ([10, 0, 0, 1], 80).into();
     net.nodes[0].tell(net.now, Verdict { endpoint, valid_ms: 60_000 });
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_member_of_an_earlier_life_is_not_brought_back_by_old_frames() {
+fn old_frames_do_not_restore_an_earlier_incarnation_of_a_member() {
     let mut net = started(3, 0.0);
     let old = net.nodes[0].members().get(node_id(addr(1))).unwrap().info;
     net.restart(1);
@@ -149,7 +149,7 @@
 /// Each change of the set of candidates moves dispatch to another node, which has no observations
 /// yet.
 #[test]
-fn nodes_that_start_together_may_all_dispatch_and_one_that_joins_them_may_later() {
+fn nodes_that_start_together_may_all_dispatch_and_a_recently_joined_node_may_later() {
     let mut net = Net::new(5, 0.0);
     let serving =
         |net: &Net, i: usize| net.nodes[i].members().serving(net.now, fleet::ROUND).count();
@@ -179,35 +179,35 @@
 /// Guards against a node that is unknown to the reader: one node of ten read the platform for half
 /// a minute, because the reader never announced itself to it.
 #[test]
-fn a_reader_tells_those_at_once_whom_it_has_not_known() {
+fn a_reader_announces_itself_to_a_new_node_at_once() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut node = |i, link_mbps| {
         let capacity = Capacity { link_mbps, ..Capacity::default() };
         let me = Identity { addr: addr(i), failure_domain: 0, incarnation: 1, capacity };
         Exchange::new(Time(0), me, &[], &mut rng)
     };
-    let (mut reader, stranger) = (node(0, 200), node(1, 20));
+    let (mut reader, unknown_node) = (node(0, 200), node(1, 20));
     let now = Time(0) + Duration::from_secs(2);
     reader.read(now, Published { latest: READ, complete_to: READ, ..Published::default() });
-    let news = News {
-        sender: stranger.info(),
-        facts: stranger.info().facts,
+    let update = News {
+        sender: unknown_node.info(),
+        facts: unknown_node.info().facts,
         after: Position::START,
         changes: Vec::new(),
         last_answer: LastAnswer::Read { age_ms: 0 },
     };
-    let mut told = |message| {
-        let frame = stranger.frame(message);
+    let mut announcements = |message| {
+        let frame = unknown_node.frame(message);
         let effects = reader.receive(now, addr(1), frame, &mut StdRng::seed_from_u64(2));
-        let is_news = |it: &Effect| matches!(it, Effect::Send(_, Message::News(it)) if it.last_answer != LastAnswer::Lost);
-        effects.iter().filter(|it| is_news(it)).count()
+        let is_announcement = |it: &Effect| matches!(it, Effect::Send(_, Message::News(it)) if it.last_answer != LastAnswer::Lost);
+        effects.iter().filter(|it| is_announcement(it)).count()
     };
-    assert_eq!(told(Message::News(news.clone())), 1);
-    assert_eq!(told(Message::News(news)), 0, "it is known now");
+    assert_eq!(announcements(Message::News(update.clone())), 1);
+    assert_eq!(announcements(Message::News(update)), 0, "the sender is known now");
 }
 
 #[test]
-fn every_node_knows_soon_which_request_crashes_endpoints_those_that_start_later_included() {
+fn rejections_of_crashing_requests_soon_reach_every_node_including_later_starts() {
     let contact = Duration::from_secs(3);
     let it = Rejection { request: RequestKey(7), valid_ms: 120_000 };
     for loss in [0.0, 0.2] {
@@ -240,18 +240,18 @@
 
 /// The reaction of the later node to the reader's announcement: whether it fetches, and whether its
 /// copy is confirmed as fresh.
-fn hears_of(era: u32) -> (bool, bool) {
+fn reaction_to_era(era: u32) -> (bool, bool) {
     let (reader, mut later) = reader_and_later(era);
     let now = Time(0) + Duration::from_secs(5);
     let facts = reader.info().facts;
-    let news = News {
+    let update = News {
         sender: reader.info(),
         facts,
         after: facts.registry,
         changes: Vec::new(),
         last_answer: LastAnswer::Read { age_ms: 0 },
     };
-    let frame = reader.frame(Message::News(news));
+    let frame = reader.frame(Message::News(update));
     let effects = later.receive(now, addr(0), frame, &mut StdRng::seed_from_u64(2));
     let fetches = effects.iter().any(|it| matches!(it, Effect::Fetch(_)));
     (fetches, later.duty().is_fresh(now))
@@ -260,8 +260,8 @@
 /// A node that has read a later era ignores announcements of an earlier era, however high their
 /// revisions, and follows those of an even later era.
 #[test]
-fn the_word_of_an_earlier_era_proves_nothing() {
-    assert_eq!(hears_of(1), (false, false));
-    assert_eq!(hears_of(2), (false, true));
-    assert_eq!(hears_of(3), (true, true));
+fn announcements_of_an_earlier_era_confirm_nothing() {
+    assert_eq!(reaction_to_era(1), (false, false));
+    assert_eq!(reaction_to_era(2), (false, true));
+    assert_eq!(reaction_to_era(3), (true, true));
 }
--- a/crates/fleet/tests/fetch.rs
+++ b/crates/fleet/tests/fetch.rs
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn what_a_peer_lacks_arrives_and_its_place_in_the_backlog_comes_back() {
+async fn a_fetch_returns_the_bundle_and_frees_the_backlog() {
     let backlog = Backlog::for_link(10.0);
     let (addr, mut ended) = serving(backlog.clone()).await;
     let fetched = fetch(addr, &keys(), asker()).await.unwrap();
@@ -59,11 +59,11 @@
 }
 
 #[tokio::test]
-async fn a_peer_is_told_at_once_that_too_much_is_under_way() {
+async fn a_fetch_is_refused_at_once_while_too_many_bytes_are_in_flight() {
     let backlog = Backlog::for_link(10.0);
     let (addr, mut ended) = serving(backlog.clone()).await;
     // More than the link carries in a moment, admitted because the backlog is empty.
-    let long = backlog.admit(1_000_000).expect("nothing else is under way");
+    let long = backlog.admit(1_000_000).expect("nothing else is in flight");
     let refused = fetch(addr, &keys(), asker()).await;
     assert!(matches!(refused, Err(FetchError::Busy)), "{refused:?}");
     assert_eq!(ended.recv().await, Some(ServedEnding::Busy));
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -15,7 +15,7 @@
 use standin::net::Net;
 
 /// Bandwidth of each link, in Mbit/s.
-const LINK: f64 = 10.0;
+const LINK_MBPS: f64 = 10.0;
 /// A configuration that the platform has acknowledged must be in force everywhere within this time.
 const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_500);
 /// Time between two configurations in quick succession.
@@ -28,14 +28,14 @@
 
 /// A route with names that compress badly.
 fn route(i: usize) -> Resource {
-    let word = |salt: usize| {
+    let random_word = |salt: usize| {
         let mixed = (i * 31 + salt + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         format!("{:08x}", mixed >> 32)
     };
     Resource::Route(Route {
-        name: format!("r-{}", word(1)).into(),
-        host: Some(format!("{}.example", word(i % 7)).into()),
-        path: format!("/{}/{}/", word(2), word(3)),
+        name: format!("r-{}", random_word(1)).into(),
+        host: Some(format!("{}.example", random_word(i % 7)).into()),
+        path: format!("/{}/{}/", random_word(2), random_word(3)),
         methods: Vec::new(),
         service: "booking".into(),
         split: Vec::new(),
@@ -55,7 +55,7 @@
 /// Publishes a configuration and, shortly after it, another one of the same size; returns the
 /// longest time until a node had the second one in force, or `None` if some node never had.
 fn slowest(nodes: usize, routes: usize) -> Option<Duration> {
-    let mut net = Net::new(nodes, 0.02).with_links(LINK);
+    let mut net = Net::new(nodes, 0.02).with_links(LINK_MBPS);
     net.publish(document(1, 10));
     net.run_on_links(Duration::from_secs(8));
     assert_eq!(net.in_force(), vec![1; nodes]);
--- a/crates/fleet/tests/rate_limits.rs
+++ b/crates/fleet/tests/rate_limits.rs
@@ -3,12 +3,12 @@
 mod virtual_fleet;
 
 use policy::{Notice, RateLimit};
-use virtual_fleet::{Arrival, Fleet, MS, NONE, RUN, Says, Trouble};
+use virtual_fleet::{Arrival, Fleet, MS, NO_FAULTS, RUN_LENGTH, Scenario, SentNotice};
 
 /// Sends are counted over this time.
 const WINDOW: u64 = 4_000 * MS;
 /// Time for the fleet to receive a limit.
-const CONTACT: u64 = 3_000 * MS;
+const PROPAGATION_TIME: u64 = 3_000 * MS;
 /// A node that received the limit a moment ago may still have a send in progress.
 const UNDER_WAY: u64 = 500 * MS;
 /// Tolerated sends in a window beyond one and a half times the limit.
@@ -20,14 +20,14 @@
 const ENDPOINTS: usize = 4;
 
 /// Endpoints that advertise a limit.
-fn limited(endpoints: usize, per_s: f64) -> Trouble {
+fn limited(endpoints: usize, per_s: f64) -> Scenario {
     let notice = Notice::RateLimit(RateLimit::from_per_second(per_s));
-    let says = Says { endpoints, notice, from: FROM, until: UNTIL };
-    Trouble { fails_from: RUN, says: Some(says), ..NONE }
+    let notice = SentNotice { endpoints, notice, from: FROM, until: UNTIL };
+    Scenario { fails_from: RUN_LENGTH, notice: Some(notice), ..NO_FAULTS }
 }
 
 /// A few endpoints that advertise a limit.
-fn few_limited() -> Trouble {
+fn few_limited() -> Scenario {
     limited(ENDPOINTS, PER_S)
 }
 
@@ -35,7 +35,7 @@
 fn most_in_a_window(sends: &[Arrival], endpoint: usize) -> usize {
     let counts = |it: &&Arrival| {
         let is_known = it.known_for.is_some_and(|it| it >= UNDER_WAY);
-        it.endpoint == endpoint && it.at >= FROM + CONTACT && is_known
+        it.endpoint == endpoint && it.at >= FROM + PROPAGATION_TIME && is_known
     };
     let times: Vec<u64> = sends.iter().filter(counts).map(|it| it.at).collect();
     let in_window = |end: u64| times.iter().filter(|it| **it <= end && **it + WINDOW > end).count();
@@ -43,11 +43,11 @@
 }
 
 #[track_caller]
-fn check(per_s: f64, trouble: Trouble) {
+fn check(per_s: f64, scenario: Scenario) {
     let allowed = per_s * 1.5 * WINDOW as f64 / 1e6 + SLACK;
-    let endpoints = trouble.says.map_or(0, |it| it.endpoints);
+    let endpoints = scenario.notice.map_or(0, |it| it.endpoints);
     for seed in 1..=4 {
-        let mut fleet = Fleet::new(seed, trouble);
+        let mut fleet = Fleet::new(seed, scenario);
         fleet.run();
         for endpoint in 0..endpoints {
             let most = most_in_a_window(&fleet.sends, endpoint);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn no_rate_limit_is_exceeded_in_calm() {
+fn no_rate_limit_is_exceeded_in_normal_operation() {
     for per_s in [0.0, 0.7, 2.0, 8.0] {
         check(per_s, limited(ENDPOINTS, per_s));
     }
@@ -66,19 +66,19 @@
 #[test]
 fn no_rate_limit_is_exceeded_while_another_node_takes_over() {
     for after in [1, 4, 8] {
-        check(PER_S, Trouble { cut_off_at: Some(FROM + after * 1_000 * MS), ..few_limited() });
+        check(PER_S, Scenario { cut_off_at: Some(FROM + after * 1_000 * MS), ..few_limited() });
     }
 }
 
 #[test]
 fn no_rate_limit_is_exceeded_while_asks_go_from_one_node_to_the_next() {
-    check(PER_S, Trouble { late: 0.6, ..few_limited() });
+    check(PER_S, Scenario { late: 0.6, ..few_limited() });
 }
 
 #[test]
 fn no_rate_limit_is_exceeded_while_frames_are_lost() {
     for lost in [0.05, 0.2, 0.4] {
-        check(PER_S, Trouble { lost, ..few_limited() });
+        check(PER_S, Scenario { lost, ..few_limited() });
     }
 }
 
@@ -86,12 +86,12 @@
 fn a_limited_endpoint_keeps_its_work_up_to_the_limit() {
     let mut fleet = Fleet::new(1, few_limited());
     fleet.run();
-    let sends = fleet.sends.iter().filter(|it| it.at >= FROM + CONTACT).count() as f64;
-    let allowed = PER_S * ENDPOINTS as f64 * (UNTIL - FROM - CONTACT) as f64 / 1e6;
+    let sends = fleet.sends.iter().filter(|it| it.at >= FROM + PROPAGATION_TIME).count() as f64;
+    let allowed = PER_S * ENDPOINTS as f64 * (UNTIL - FROM - PROPAGATION_TIME) as f64 / 1e6;
     assert!(sends >= 0.9 * allowed, "{sends} of {allowed}");
 }
 
 #[test]
-fn no_rate_limit_is_exceeded_while_all_endpoints_name_one() {
-    check(PER_S, limited(NONE.endpoints.into(), PER_S));
+fn no_rate_limit_is_exceeded_while_all_endpoints_advertise_one() {
+    check(PER_S, limited(NO_FAULTS.endpoints.into(), PER_S));
 }
--- a/crates/fleet/tests/repeats.rs
+++ b/crates/fleet/tests/repeats.rs
@@ -19,7 +19,7 @@
 
 use std::collections::VecDeque;
 
-use virtual_fleet::{Fleet, LIMITS, MS, NONE, RUN, Trouble};
+use virtual_fleet::{Fleet, LIMITS, MS, NO_FAULTS, RUN_LENGTH, Scenario};
 
 /// Repeats in a window, the allowed number, and the end of the window.
 type Window = (usize, f64, u64);
@@ -37,7 +37,7 @@
         let first = before.map(|it| count(&fleet.first, it)).into_iter().max().unwrap_or(0);
         (count(&fleet.repeats, end), first as f64 * LIMITS.ratio + LIMITS.extra, end)
     };
-    let windows: Vec<Window> = (1..=RUN / (250 * MS)).map(|i| at(i * 250 * MS)).collect();
+    let windows: Vec<Window> = (1..=RUN_LENGTH / (250 * MS)).map(|i| at(i * 250 * MS)).collect();
     let over = |it: &Window| it.0 as f64 - it.1;
     let worst = windows.iter().max_by(|a, b| over(a).total_cmp(&over(b)));
     let busiest = windows.iter().max_by_key(|it| it.0);
@@ -45,10 +45,10 @@
 }
 
 #[track_caller]
-fn check(trouble: Trouble) {
+fn check(scenario: Scenario) {
     let mut seen = VecDeque::new();
     for seed in 1..=4 {
-        let mut fleet = Fleet::new(seed, trouble);
+        let mut fleet = Fleet::new(seed, scenario);
         fleet.run();
         let ((repeats, allowed, end), (most, allowed_then, _)) = worst_and_busiest(&fleet);
         let end = end as f64 / 1e6;
@@ -61,13 +61,13 @@
 
 #[test]
 fn repeats_are_bounded_while_dispatching_nodes_answer_in_time() {
-    check(NONE);
+    check(NO_FAULTS);
 }
 
 #[test]
 fn repeats_are_bounded_while_asks_go_from_one_node_to_the_next() {
     for rate in [0.5, 3.0, 15.0] {
-        check(Trouble { rate, late: 0.6, ..NONE });
+        check(Scenario { rate, late: 0.6, ..NO_FAULTS });
     }
 }
 
@@ -75,30 +75,30 @@
 fn repeats_are_bounded_while_frames_are_lost() {
     for rate in [0.5, 1.0, 3.0] {
         for lost in [0.2, 0.4] {
-            check(Trouble { rate, lost, ..NONE });
+            check(Scenario { rate, lost, ..NO_FAULTS });
         }
     }
 }
 
 #[test]
-fn repeats_are_bounded_while_first_sends_reach_nobody() {
-    check(Trouble { unreached: 0.3, ..NONE });
+fn repeats_are_bounded_while_first_sends_reach_no_endpoint() {
+    check(Scenario { unreached: 0.3, ..NO_FAULTS });
 }
 
 #[test]
-fn repeats_are_bounded_while_another_node_takes_over_in_the_middle_of_need() {
+fn repeats_are_bounded_while_another_node_takes_over_during_an_outage() {
     for after in [1, 2, 3, 5] {
         let fails_from = 20_000 * MS;
         let cut_off_at = Some(fails_from + after * 1_000 * MS);
-        check(Trouble { fails_from, cut_off_at, ..NONE });
+        check(Scenario { fails_from, cut_off_at, ..NO_FAULTS });
     }
 }
 
 #[test]
-fn repeats_are_bounded_while_all_processes_begin_anew_in_the_middle_of_need() {
+fn repeats_are_bounded_while_all_processes_restart_during_an_outage() {
     for times in [1, 2, 4] {
         let fails_from = 20_000 * MS;
         let restarts_from = Some((fails_from + 2_000 * MS, times));
-        check(Trouble { fails_from, restarts_from, ..NONE });
+        check(Scenario { fails_from, restarts_from, ..NO_FAULTS });
     }
 }
--- a/crates/fleet/tests/rests.rs
+++ b/crates/fleet/tests/rests.rs
@@ -5,64 +5,68 @@
 use std::time::Duration;
 
 use policy::Notice;
-use virtual_fleet::{Fleet, MS, NONE, RUN, Says, Trouble};
+use virtual_fleet::{Fleet, MS, NO_FAULTS, RUN_LENGTH, Scenario, SentNotice};
 
-const REST: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 /// A request may be in progress, and two more may follow before the back-off ends.
 const UNDER_WAY: u64 = 500 * MS;
-const BEFORE_THE_END: usize = 2;
+const MAX_SENDS_DURING_BACKOFF: usize = 2;
 const FROM: u64 = 10_000 * MS;
 const UNTIL: u64 = 20_000 * MS;
 
 /// A third of the endpoints turn all requests away for ten seconds; the service has enough slots.
-fn resting() -> Trouble {
-    let says = Says { endpoints: 5, notice: Notice::Rest(REST), from: FROM, until: UNTIL };
-    Trouble {
+fn back_off_scenario() -> Scenario {
+    let notice =
+        SentNotice { endpoints: 5, notice: Notice::Rest(BACKOFF), from: FROM, until: UNTIL };
+    Scenario {
         rate: 3.2,
         slots: 3,
-        work: 240 * MS,
-        requests_until: RUN - 5_000 * MS,
-        fails_from: RUN,
-        says: Some(says),
-        ..NONE
+        service_time: 240 * MS,
+        requests_until: RUN_LENGTH - 5_000 * MS,
+        fails_from: RUN_LENGTH,
+        notice: Some(notice),
+        ..NO_FAULTS
     }
 }
 
 #[track_caller]
-fn check(trouble: Trouble) {
+fn check(scenario: Scenario) {
     for seed in 1..=4 {
-        let mut fleet = Fleet::new(seed, trouble);
+        let mut fleet = Fleet::new(seed, scenario);
         fleet.run();
-        assert!(!fleet.asked_for_rest.is_empty(), "somebody is asked");
-        for (at, node, endpoint) in &fleet.asked_for_rest {
-            let rest = at + UNDER_WAY..at + REST.as_micros() as u64;
-            let in_rest = |it: &&virtual_fleet::Arrival| {
-                it.node == *node && it.endpoint == *endpoint && rest.contains(&it.at)
+        assert!(!fleet.backoff_requests.is_empty(), "no node was asked to back off");
+        for (at, node, endpoint) in &fleet.backoff_requests {
+            let backoff = at + UNDER_WAY..at + BACKOFF.as_micros() as u64;
+            let in_backoff = |it: &&virtual_fleet::Arrival| {
+                it.node == *node && it.endpoint == *endpoint && backoff.contains(&it.at)
             };
-            let n = fleet.sends.iter().filter(in_rest).count();
-            assert!(n <= BEFORE_THE_END, "seed {seed}: {n} in the rest asked for at {at}");
+            let n = fleet.sends.iter().filter(in_backoff).count();
+            assert!(
+                n <= MAX_SENDS_DURING_BACKOFF,
+                "seed {seed}: {n} sends during the back-off requested at {at}"
+            );
         }
     }
 }
 
 #[test]
-fn a_node_that_is_asked_for_rest_keeps_it() {
-    check(resting());
+fn the_backoff_that_an_endpoint_asks_for_is_kept() {
+    check(back_off_scenario());
 }
 
 #[test]
-fn a_node_keeps_it_while_another_one_takes_over() {
-    check(Trouble { cut_off_at: Some(FROM + 1_000 * MS), ..resting() });
+fn the_backoff_is_kept_while_another_dispatching_node_takes_over() {
+    check(Scenario { cut_off_at: Some(FROM + 1_000 * MS), ..back_off_scenario() });
 }
 
 #[test]
-fn a_node_keeps_it_while_frames_are_lost_and_late() {
-    check(Trouble { lost: 0.2, late: 0.3, ..resting() });
+fn the_backoff_is_kept_while_frames_are_lost_and_late() {
+    check(Scenario { lost: 0.2, late: 0.3, ..back_off_scenario() });
 }
 
 #[test]
-fn callers_are_served_by_the_endpoints_that_want_work() {
-    let mut fleet = Fleet::new(1, resting());
+fn callers_are_served_by_the_other_endpoints() {
+    let mut fleet = Fleet::new(1, back_off_scenario());
     fleet.run();
     let asked = fleet.first.len() as f64;
     assert!(f64::from(fleet.answered) >= 0.99 * asked, "{} of {asked}", fleet.answered);
--- a/crates/fleet/tests/returns.rs
+++ b/crates/fleet/tests/returns.rs
@@ -10,8 +10,8 @@
 
 const NODES: usize = 40;
 /// Nodes with fast links, and their bandwidth in Mbit/s.
-const STRONG: (usize, u32) = (10, 200);
-const WEAK: u32 = 20;
+const FAST: (usize, u32) = (10, 200);
+const SLOW: u32 = 20;
 /// Endpoints before the return, the number of them in the older copy, and endpoints registered
 /// after the return.
 const BEFORE: usize = 100;
@@ -42,7 +42,7 @@
 
 /// Faults at the time of the return.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
+struct Scenario {
     loss: f64,
     /// The platform comes back a second time, a moment later.
     returns_again: bool,
@@ -54,7 +54,7 @@
 
 /// A fleet that knows all endpoints.
 fn started(loss: f64) -> Net {
-    let link = |i| if i < STRONG.0 { STRONG.1 } else { WEAK };
+    let link = |i| if i < FAST.0 { FAST.1 } else { SLOW };
     let mut net = Net::new(NODES, loss).with_own_links(link);
     net.publish(Document { version: 1, ..Document::default() });
     net.publish_endpoints(ids("old", BEFORE).map(endpoint));
@@ -63,23 +63,23 @@
 }
 
 /// Endpoints to which a node gives work.
-fn in_use(net: &Net, i: usize) -> BTreeSet<Name> {
+fn endpoints_in_use(net: &Net, i: usize) -> BTreeSet<Name> {
     let there = net.nodes[i].replica().registrations();
     there.filter(|it| it.endpoint.standing == Standing::Present).map(|it| it.endpoint.id).collect()
 }
 
 #[track_caller]
-fn check(trouble: Trouble) {
-    let mut net = started(trouble.loss);
-    assert!((0..NODES).all(|i| in_use(&net, i).len() == BEFORE), "{trouble:?}");
+fn check(scenario: Scenario) {
+    let mut net = started(scenario.loss);
+    assert!((0..NODES).all(|i| endpoints_in_use(&net, i).len() == BEFORE), "{scenario:?}");
     net.come_back(BEFORE - 5);
-    if trouble.returns_again {
+    if scenario.returns_again {
         net.run_on_links(Duration::from_millis(100));
     }
     net.come_back(IN_COPY);
-    (0..trouble.restarts).for_each(|i| net.restart(i * 3));
+    (0..scenario.restarts).for_each(|i| net.restart(i * 3));
     // The last nodes, which read the platform themselves when no reader reaches them.
-    for i in NODES - trouble.cut_off..NODES {
+    for i in NODES - scenario.cut_off..NODES {
         net.cut.extend((0..NODES).flat_map(|j| [(i, j), (j, i)]));
     }
     // Known revisions are assigned again.
@@ -87,35 +87,38 @@
     net.run_on_links(IN_FORCE);
     let new: BTreeSet<Name> = ids("new", AFTER).map(|it| it.as_str().into()).collect();
     for i in 0..NODES {
-        assert!(new.is_subset(&in_use(&net, i)), "{trouble:?}: node {i} lacks new ones");
+        assert!(
+            new.is_subset(&endpoints_in_use(&net, i)),
+            "{scenario:?}: node {i} misses new endpoints"
+        );
     }
     net.cut.clear();
     net.run_on_links(GONE);
     let all: BTreeSet<Name> = ids("old", IN_COPY).map(|it| it.as_str().into()).chain(new).collect();
     for i in 0..NODES {
         let position = net.nodes[i].replica().facts().registry;
-        assert_eq!(in_use(&net, i), all, "{trouble:?}: node {i} at {position}");
+        assert_eq!(endpoints_in_use(&net, i), all, "{scenario:?}: node {i} at {position}");
     }
 }
 
 #[test]
 fn all_nodes_follow_the_platform_to_its_older_copy() {
-    check(Trouble::default());
-    check(Trouble { loss: 0.2, ..Trouble::default() });
+    check(Scenario::default());
+    check(Scenario { loss: 0.2, ..Scenario::default() });
 }
 
 #[test]
 fn a_return_during_a_return_is_followed() {
-    check(Trouble { returns_again: true, loss: 0.1, ..Trouble::default() });
+    check(Scenario { returns_again: true, loss: 0.1, ..Scenario::default() });
 }
 
 #[test]
-fn nodes_that_start_anew_at_that_moment_learn_the_later_era() {
-    check(Trouble { restarts: 12, loss: 0.1, ..Trouble::default() });
+fn nodes_that_restart_during_a_return_discover_the_later_era() {
+    check(Scenario { restarts: 12, loss: 0.1, ..Scenario::default() });
 }
 
 #[test]
 fn nodes_that_are_cut_off_read_the_later_era_themselves() {
-    check(Trouble { cut_off: 6, ..Trouble::default() });
-    check(Trouble { cut_off: 6, restarts: 5, returns_again: true, loss: 0.1 });
+    check(Scenario { cut_off: 6, ..Scenario::default() });
+    check(Scenario { cut_off: 6, restarts: 5, returns_again: true, loss: 0.1 });
 }
--- a/crates/fleet/tests/start.rs
+++ b/crates/fleet/tests/start.rs
@@ -9,10 +9,10 @@
 use standin::net::Net;
 
 /// Bandwidth of the fast links and of all others, in Mbit/s.
-const STRONG: u32 = 200;
-const WEAK: u32 = 20;
+const FAST: u32 = 200;
+const SLOW: u32 = 20;
 /// Nodes with fast links: three in each of three failure domains.
-const STRONG_NODES: usize = 9;
+const FAST_NODES: usize = 9;
 
 fn endpoint(i: usize) -> RegistryChange {
     let addr = ([10, 1, (i / 250) as u8, (i % 250) as u8], 8_500).into();
@@ -32,7 +32,7 @@
 
 /// A fleet that has just started.
 fn start(nodes: usize, endpoints: usize, loss: f64) -> Net {
-    let link = |i| if i < STRONG_NODES { STRONG } else { WEAK };
+    let link = |i| if i < FAST_NODES { FAST } else { SLOW };
     let mut net = Net::new(nodes, loss).with_own_links(link);
     net.publish(Document { version: 1, ..Document::default() });
     net.publish_endpoints((0..endpoints).map(endpoint));
@@ -44,13 +44,13 @@
     let (calls, from) = (net.platform_calls(), net.now);
     net.endpoints_at.clear();
     net.run_on_links(Duration::from_secs(3));
-    assert_eq!(net.endpoints_at.len(), nodes, "some know no endpoints");
+    assert_eq!(net.endpoints_at.len(), nodes, "some nodes know no endpoints");
     let last = net.endpoints_at.values().max().copied().unwrap_or(Time(0));
     (net.platform_calls() - calls, last.since(from))
 }
 
 #[test]
-fn a_start_of_all_costs_the_platform_no_more_for_more_nodes() {
+fn the_platform_calls_of_a_start_do_not_multiply_with_nodes() {
     for (nodes, endpoints, loss) in
         [(40, 15, 0.0), (140, 250, 0.0), (443, 720, 0.0), (443, 720, 0.02), (850, 720, 0.0)]
     {
@@ -58,7 +58,7 @@
         let (calls, took) = cost(&mut net, nodes);
         let what = format!("{nodes} nodes, {endpoints} endpoints, loss {loss}");
         let pages = (endpoints as u64).div_ceil(500) + 1;
-        let most = STRONG_NODES as u64 * pages + 30 + nodes as u64 / 3;
+        let most = FAST_NODES as u64 * pages + 30 + nodes as u64 / 3;
         assert!(calls <= most, "{what}: {calls} calls");
         assert!(took < Duration::from_millis(600), "{what}: known after {took:?}");
         // A first copy of 720 endpoints and as many nodes is about 100 KB.
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -20,18 +20,18 @@
 pub const LIMITS: BudgetLimits =
     BudgetLimits { ratio: 0.2, extra: 40.0, window: Duration::from_secs(10) };
 /// An unanswered ask is sent to the next node after this time.
-const PATIENCE: Duration = Duration::from_millis(40);
+const ASK_TIMEOUT: Duration = Duration::from_millis(40);
 pub const MS: u64 = 1_000;
 /// Duration of a run.
-pub const RUN: u64 = 35_000 * MS;
+pub const RUN_LENGTH: u64 = 35_000 * MS;
 /// Fraction of the frames that a full link loses.
-const LOST_ON_FULL_LINK: f64 = 0.8;
+const LOSS_ON_FULL_LINK: f64 = 0.8;
 /// Time limit of each request.
-const TIME_LIMIT: Duration = Duration::from_secs(4);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Load and faults of a run.
 #[derive(Clone, Copy)]
-pub struct Trouble {
+pub struct Scenario {
     /// Requests per second at each node.
     pub rate: f64,
     /// Endpoints of the service.
@@ -39,7 +39,7 @@
     /// Slots of each endpoint.
     pub slots: u32,
     /// Time that a request spends at an endpoint.
-    pub work: u64,
+    pub service_time: u64,
     /// No request arrives after this time.
     pub requests_until: u64,
     /// Fraction of the frames that are delayed, by up to a tenth of a second.
@@ -49,7 +49,7 @@
     /// How long an answer fills the link of the node that relays it.
     pub answer_fills_link: u64,
     /// Time from the beginning of an answer to its last byte at the asking node.
-    pub answer_travels: u64,
+    pub answer_transit: u64,
     /// Fraction of the answers that are six times as long.
     pub long_answers: f64,
     /// When the asking node releases the slot.
@@ -63,12 +63,12 @@
     /// Time of the first restart of all processes and the number of restarts, one second apart.
     pub restarts_from: Option<(u64, u64)>,
     /// Notices that some endpoints send.
-    pub says: Option<Says>,
+    pub notice: Option<SentNotice>,
 }
 
 /// The first `endpoints` endpoints attach a notice to all their answers between two times.
 #[derive(Clone, Copy)]
-pub struct Says {
+pub struct SentNotice {
     pub endpoints: usize,
     pub notice: Notice,
     pub from: u64,
@@ -77,7 +77,7 @@
 
 /// When the asking node releases the slot of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
-#[allow(dead_code, reason = "each program of tests plays some of the ways")]
+#[allow(dead_code, reason = "each test program uses some of the variants")]
 pub enum Release {
     /// With the last byte of the answer, after the bytes that leave on the same link.
     LastByte,
@@ -87,54 +87,54 @@
     Beginning,
 }
 
-pub const NONE: Trouble = Trouble {
+pub const NO_FAULTS: Scenario = Scenario {
     rate: 15.0,
     endpoints: 16,
     slots: 64,
-    work: 20 * MS,
-    requests_until: RUN,
+    service_time: 20 * MS,
+    requests_until: RUN_LENGTH,
     late: 0.0,
     lost: 0.0,
     answer_fills_link: 0,
-    answer_travels: 0,
+    answer_transit: 0,
     long_answers: 0.0,
     release: Release::Beginning,
     unreached: 0.0,
     fails_from: 0,
     cut_off_at: None,
     restarts_from: None,
-    says: None,
+    notice: None,
 };
 
 fn endpoint_name(i: usize) -> Name {
     format!("i-{i}").into()
 }
 
-fn service(trouble: &Trouble) -> Service {
+fn service(scenario: &Scenario) -> Service {
     let endpoint = |i: u16| Endpoint {
         id: endpoint_name(i.into()),
         addr: ([127, 0, 0, 1], FIRST_PORT + i).into(),
         failure_domain: "a".into(),
-        slots: trouble.slots,
+        slots: scenario.slots,
         standing: Standing::Present,
         warm_up_ms: 0,
         started_ms: 0,
     };
     Service {
         name: "s".into(),
-        endpoints: (0..trouble.endpoints).map(endpoint).collect(),
+        endpoints: (0..scenario.endpoints).map(endpoint).collect(),
         floor: Floor::Percent(60),
         bias: Default::default(),
-        slots: trouble.slots,
+        slots: scenario.slots,
         connections: 200,
         cold_rate_per_s: 0.0,
         warm_up_ms: 0,
     }
 }
 
-struct All(Vec<NodeId>);
+struct AllNodes(Vec<NodeId>);
 
-impl Directory for All {
+impl Directory for AllNodes {
     fn candidates(&self, service: u64) -> Vec<NodeId> {
         rank(service, self.0.iter().copied())
     }
@@ -171,9 +171,9 @@
 }
 
 /// Interval at which slots in use are renewed.
-const RENEW: u64 = 1_000 * MS;
+const RENEW_INTERVAL: u64 = 1_000 * MS;
 /// Length of a long answer, as a multiple of the usual length.
-const LONG: u64 = 6;
+const LONG_ANSWER: u64 = 6;
 
 struct Due(u64, u64, Event);
 
@@ -218,18 +218,18 @@
 }
 
 impl Node {
-    fn new(now: Time, id: NodeId, trouble: &Trouble) -> Self {
+    fn new(now: Time, id: NodeId, scenario: &Scenario) -> Self {
         // Each start has a stream of its own.
         let stream = now.0 as u32;
         let dispatcher = |precedence| {
-            let mut it = Dispatcher::new(now, &service(trouble), &[], LIMITS);
+            let mut it = Dispatcher::new(now, &service(scenario), &[], LIMITS);
             it.set_nodes(NODES as usize);
             it.set_precedence(precedence);
             it
         };
         let is_first = rank(SERVICE, (0..NODES).map(NodeId))[0] == id;
         Self {
-            client: Client::new(id, PATIENCE, LIMITS.window),
+            client: Client::new(id, ASK_TIMEOUT, LIMITS.window),
             delivery: Delivery::new(stream),
             own: dispatcher(if is_first { Precedence::First } else { Precedence::OneOfMany }),
             direct: dispatcher(Precedence::OneOfMany),
@@ -250,9 +250,9 @@
 pub struct Fleet {
     now: u64,
     nodes: Vec<Node>,
-    directory: All,
+    directory: AllNodes,
     events: BinaryHeap<Due>,
-    trouble: Trouble,
+    scenario: Scenario,
     rng: StdRng,
     next: u64,
     /// Number of endpoints that each request waiting for a slot has reached, by its permit.
@@ -267,16 +267,16 @@
     /// Counts of the dispatchers.
     pub counted: Counted,
     /// When each node first received a notice of an endpoint.
-    told: BTreeMap<(usize, usize), u64>,
+    first_notices: BTreeMap<(usize, usize), u64>,
     /// Sends to endpoints while these send notices.
     pub sends: Vec<Arrival>,
     /// Time, node and endpoint of each request to back off.
-    pub asked_for_rest: Vec<(u64, usize, usize)>,
+    pub backoff_requests: Vec<(u64, usize, usize)>,
 }
 
 /// A send to an endpoint that currently sends notices.
 #[derive(Clone, Copy, Debug)]
-#[allow(dead_code, reason = "each program of tests looks at runs in its own way")]
+#[allow(dead_code, reason = "not every test program uses it")]
 pub struct Arrival {
     pub at: u64,
     pub node: usize,
@@ -293,11 +293,11 @@
 }
 
 /// Runs the simulation with several seeds and checks that `holds` is true after each run.
-#[allow(dead_code, reason = "each program of tests looks at runs in its own way")]
+#[allow(dead_code, reason = "not every test program uses it")]
 #[track_caller]
-pub fn check(trouble: Trouble, holds: impl Fn(&Fleet) -> bool) {
+pub fn check(scenario: Scenario, holds: impl Fn(&Fleet) -> bool) {
     for seed in 1..=4 {
-        let mut fleet = Fleet::new(seed, trouble);
+        let mut fleet = Fleet::new(seed, scenario);
         fleet.run();
         let (answered, queued) = (fleet.answered, fleet.most_queued);
         assert!(
@@ -309,14 +309,14 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, trouble: Trouble) -> Self {
+    pub fn new(seed: u64, scenario: Scenario) -> Self {
         let ids: Vec<NodeId> = (0..NODES).map(NodeId).collect();
         let mut fleet = Self {
             now: 0,
-            nodes: ids.iter().map(|it| Node::new(Time(0), *it, &trouble)).collect(),
-            directory: All(ids),
+            nodes: ids.iter().map(|it| Node::new(Time(0), *it, &scenario)).collect(),
+            directory: AllNodes(ids),
             events: BinaryHeap::new(),
-            trouble,
+            scenario,
             rng: StdRng::seed_from_u64(seed),
             next: 0,
             requests: Default::default(),
@@ -325,12 +325,12 @@
             answered: 0,
             most_queued: 0,
             counted: Counted::default(),
-            told: BTreeMap::new(),
+            first_notices: BTreeMap::new(),
             sends: Vec::new(),
-            asked_for_rest: Vec::new(),
+            backoff_requests: Vec::new(),
         };
         (0..NODES as usize).for_each(|i| fleet.after(0, Event::Request(i)));
-        if let Some((from, times)) = trouble.restarts_from {
+        if let Some((from, times)) = scenario.restarts_from {
             (0..times).for_each(|i| fleet.after(from + i * 1_000 * MS, Event::Restart));
         }
         fleet
@@ -347,10 +347,10 @@
 
     pub fn run(&mut self) {
         let mut next_tick = 0;
-        while self.now < RUN {
+        while self.now < RUN_LENGTH {
             match self.events.peek() {
                 Some(due) if due.0 <= next_tick => {
-                    let Due(at, _, event) = self.events.pop().expect("it was there");
+                    let Due(at, _, event) = self.events.pop().expect("the event was peeked");
                     self.now = at;
                     self.handle(event);
                 }
@@ -358,7 +358,7 @@
                     self.now = next_tick;
                     next_tick += 10 * MS;
                     (0..self.nodes.len()).for_each(|i| self.tick(i));
-                    if self.now.is_multiple_of(RENEW) {
+                    if self.now.is_multiple_of(RENEW_INTERVAL) {
                         (0..self.nodes.len()).for_each(|i| self.renew(i));
                     }
                     self.count();
@@ -410,11 +410,11 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Request(_) if self.now > self.trouble.requests_until => {}
+            Event::Request(_) if self.now > self.scenario.requests_until => {}
             Event::Request(i) => {
                 self.first.push(self.now);
-                self.wish(i, 0, SendKind::First);
-                let pause = (1e6 / self.trouble.rate) as u64;
+                self.ask_for_slot(i, 0, SendKind::First);
+                let pause = (1e6 / self.scenario.rate) as u64;
                 let pause = self.rng.random_range(pause / 2..pause * 3 / 2);
                 self.after(pause, Event::Request(i));
             }
@@ -424,7 +424,7 @@
             Event::Answered { node, id, place, length } => {
                 self.answered += 1;
                 self.requests.remove(&id);
-                match self.trouble.release {
+                match self.scenario.release {
                     Release::LastByteFirst => {
                         self.end(node, id, place, Kind::Answered);
                         self.fill_link(node, length);
@@ -442,9 +442,9 @@
     /// Restarts all processes: requests in progress are lost, and no node knows what was spent.
     fn restart(&mut self) {
         let now = self.now();
-        self.nodes = (0..NODES).map(|i| Node::new(now, NodeId(i), &self.trouble)).collect();
+        self.nodes = (0..NODES).map(|i| Node::new(now, NodeId(i), &self.scenario)).collect();
         self.requests.clear();
-        self.told.clear();
+        self.first_notices.clear();
         let is_kept = |it: &Due| matches!(it.2, Event::Request(_) | Event::Restart);
         self.events.retain(is_kept);
     }
@@ -452,11 +452,11 @@
     /// Whether frames between two nodes are lost because one of them is cut off.
     fn is_cut(&self, from: usize, to: usize) -> bool {
         let first = self.directory.candidates(SERVICE)[0].0 as usize;
-        self.trouble.cut_off_at.is_some_and(|at| self.now >= at) && (from == first || to == first)
+        self.scenario.cut_off_at.is_some_and(|at| self.now >= at) && (from == first || to == first)
     }
 
     /// Asks for a slot for a request that has reached `reached` endpoints.
-    fn wish(&mut self, i: usize, reached: u32, send: SendKind) {
+    fn ask_for_slot(&mut self, i: usize, reached: u32, send: SendKind) {
         self.next += 1;
         let id = PermitId { node: NodeId(i as u64), seq: self.next };
         self.requests.insert(id, reached);
@@ -476,14 +476,14 @@
             closed: self.nodes[i].direct.closed(self.now(), id.node),
             places: None,
             limits: self.nodes[i].direct.heard_limits(self.now()),
-            left: TIME_LIMIT,
+            left: REQUEST_TIMEOUT,
             is_last: false,
             objective: Duration::from_secs(1),
             wait: true,
         };
-        let wish = Wish { ask, service: SERVICE, deadline: self.now() + TIME_LIMIT };
+        let request = Wish { ask, service: SERVICE, deadline: self.now() + REQUEST_TIMEOUT };
         let now = self.now();
-        let action = self.nodes[i].client.wish(now, wish, &self.directory);
+        let action = self.nodes[i].client.wish(now, request, &self.directory);
         self.act(i, action);
     }
 
@@ -514,16 +514,16 @@
     fn send_reliably(&mut self, from: usize, to: usize, message: PermitMessage) {
         let now = self.now();
         let batch = self.nodes[from].delivery.send(now, NodeId(to as u64), message);
-        self.transmit(from, to, Message::Reliable(batch.expect("it fits a frame")));
+        self.transmit(from, to, Message::Reliable(batch.expect("the message fits into a frame")));
     }
 
     fn transmit(&mut self, from: usize, to: usize, message: Message) {
         let is_full = self.now < self.nodes[from].link_full_until;
-        let lost = if is_full { LOST_ON_FULL_LINK } else { self.trouble.lost };
+        let lost = if is_full { LOSS_ON_FULL_LINK } else { self.scenario.lost };
         if self.rng.random_bool(lost) || self.is_cut(from, to) {
             return;
         }
-        let is_late = self.rng.random_bool(self.trouble.late);
+        let is_late = self.rng.random_bool(self.scenario.late);
         let delay = if is_late { self.rng.random_range(20 * MS..100 * MS) } else { MS };
         self.after(delay, Event::Deliver { from, to, message });
     }
@@ -604,21 +604,21 @@
             self.nodes[i].direct.sent_elsewhere(now, &grant.endpoint);
         }
         self.nodes[i].open.insert(id, Open { place, endpoint, is_rate_limited });
-        if self.said_by(endpoint).is_some() {
-            let known_for = self.told.get(&(i, endpoint)).map(|at| self.now - at);
+        if self.current_notice(endpoint).is_some() {
+            let known_for = self.first_notices.get(&(i, endpoint)).map(|at| self.now - at);
             self.sends.push(Arrival { at: self.now, node: i, endpoint, known_for });
         }
         let reached = self.requests[&id];
         if reached > 0 {
             self.repeats.push(self.now);
         }
-        let is_turned_away = matches!(self.said_by(endpoint), Some(Notice::Rest(_)));
-        let event = match self.now >= self.trouble.fails_from || is_turned_away {
+        let is_rejected = matches!(self.current_notice(endpoint), Some(Notice::Rest(_)));
+        let event = match self.now >= self.scenario.fails_from || is_rejected {
             true => Event::Failed { node: i, id, place },
             false => Event::Began { node: i, id, place },
         };
-        let work = if is_turned_away { MS } else { self.trouble.work };
-        self.after(work, event);
+        let service_time = if is_rejected { MS } else { self.scenario.service_time };
+        self.after(service_time, event);
     }
 
     /// Gives back a slot at an endpoint that is closed for this node, and asks for another one.
@@ -636,28 +636,28 @@
         }
         let reached = self.requests.remove(&id).unwrap_or_default();
         let send = if reached == 0 { SendKind::FirstAgain } else { SendKind::Further };
-        self.wish(i, reached, send);
+        self.ask_for_slot(i, reached, send);
     }
 
     /// The notice that an endpoint currently sends.
-    fn said_by(&self, endpoint: usize) -> Option<Notice> {
-        let it = self.trouble.says?;
-        let is_said = endpoint < it.endpoints && (it.from..it.until).contains(&self.now);
-        is_said.then_some(it.notice)
+    fn current_notice(&self, endpoint: usize) -> Option<Notice> {
+        let it = self.scenario.notice?;
+        let is_sent = endpoint < it.endpoints && (it.from..it.until).contains(&self.now);
+        is_sent.then_some(it.notice)
     }
 
     /// Processes the notice that an endpoint sends with an answer.
-    fn hear(&mut self, i: usize, id: PermitId) {
+    fn receive_notice(&mut self, i: usize, id: PermitId) {
         let Some(open) = self.nodes[i].open.get(&id).copied() else { return };
-        let said = self.said_by(open.endpoint);
-        if said.is_some() {
-            self.told.entry((i, open.endpoint)).or_insert(self.now);
+        let sent_notice = self.current_notice(open.endpoint);
+        if sent_notice.is_some() {
+            self.first_notices.entry((i, open.endpoint)).or_insert(self.now);
         }
-        if matches!(said, Some(Notice::Rest(_))) {
-            self.asked_for_rest.push((self.now, i, open.endpoint));
+        if matches!(sent_notice, Some(Notice::Rest(_))) {
+            self.backoff_requests.push((self.now, i, open.endpoint));
         }
-        let unlimited = open.is_rate_limited.then_some(Notice::RateLimit(None));
-        let Some(notice) = said.or(unlimited) else { return };
+        let limit_ended = open.is_rate_limited.then_some(Notice::RateLimit(None));
+        let Some(notice) = sent_notice.or(limit_ended) else { return };
         let (now, endpoint) = (self.now(), endpoint_name(open.endpoint));
         self.nodes[i].direct.noticed(now, id.node, &endpoint, 0, notice);
         self.nodes[i].own.noticed(now, id.node, &endpoint, 0, notice);
@@ -670,21 +670,21 @@
 
     /// Begins the transfer of an answer.
     fn began(&mut self, i: usize, id: PermitId, place: Place) {
-        self.hear(i, id);
-        let is_long = self.rng.random_bool(self.trouble.long_answers);
-        let length = if is_long { LONG } else { 1 };
-        if self.trouble.answer_travels > 0 && self.trouble.release == Release::Beginning {
-            self.tell_beginning(i, id, place);
+        self.receive_notice(i, id);
+        let is_long = self.rng.random_bool(self.scenario.long_answers);
+        let length = if is_long { LONG_ANSWER } else { 1 };
+        if self.scenario.answer_transit > 0 && self.scenario.release == Release::Beginning {
+            self.report_beginning(i, id, place);
         }
         // Answers arrive on the link one after the other.
         let link = &mut self.nodes[i].receives_until;
-        *link = self.now.max(*link) + length * self.trouble.answer_travels;
-        let travels = *link - self.now;
-        self.after(travels, Event::Answered { node: i, id, place, length });
+        *link = self.now.max(*link) + length * self.scenario.answer_transit;
+        let transit_time = *link - self.now;
+        self.after(transit_time, Event::Answered { node: i, id, place, length });
     }
 
-    fn tell_beginning(&mut self, i: usize, id: PermitId, place: Place) {
-        let elapsed = Duration::from_micros(self.trouble.work);
+    fn report_beginning(&mut self, i: usize, id: PermitId, place: Place) {
+        let elapsed = Duration::from_micros(self.scenario.service_time);
         match place {
             Place::Peer(node) => {
                 self.send(i, node.0 as usize, PermitMessage::AnswerBegan { id, elapsed });
@@ -701,12 +701,12 @@
     /// Sends an answer to its caller, after the answers before it.
     fn fill_link(&mut self, node: usize, length: u64) {
         let link = &mut self.nodes[node].link_full_until;
-        *link = self.now.max(*link) + length * self.trouble.answer_fills_link;
+        *link = self.now.max(*link) + length * self.scenario.answer_fills_link;
     }
 
     /// Gives a slot back to the dispatcher that granted it.
     fn end(&mut self, i: usize, id: PermitId, place: Place, kind: Kind) {
-        let took = Duration::from_micros(self.trouble.work);
+        let took = Duration::from_micros(self.scenario.service_time);
         let now = self.now();
         self.nodes[i].open.remove(&id);
         match place {
@@ -723,14 +723,14 @@
     }
 
     fn failed(&mut self, i: usize, id: PermitId, place: Place) {
-        self.hear(i, id);
+        self.receive_notice(i, id);
         self.end(i, id, place, Kind::Shed);
         let reached = self.requests.remove(&id).unwrap_or_default();
-        let is_unreached = reached == 0 && self.rng.random_bool(self.trouble.unreached);
+        let is_unreached = reached == 0 && self.rng.random_bool(self.scenario.unreached);
         if reached < 2 {
             match is_unreached {
-                true => self.wish(i, 0, SendKind::FirstAgain),
-                false => self.wish(i, reached + 1, SendKind::Further),
+                true => self.ask_for_slot(i, 0, SendKind::FirstAgain),
+                false => self.ask_for_slot(i, reached + 1, SendKind::Further),
             }
         }
     }
--- a/crates/fleet/tests/waits.rs
+++ b/crates/fleet/tests/waits.rs
@@ -27,17 +27,22 @@
     (0..net.nodes.len()).filter(reads).collect()
 }
 
-/// From now on the platform does not answer the `silent` nodes, and after `told_for` none of their
-/// messages arrive any more.
-fn fall_silent(net: &mut Net, silent: &[usize], told_for: Duration, look: impl Fn(&Net, Time)) {
+/// From now on the platform does not answer the `silent` nodes, and after `silent_after` none of
+/// their messages arrive any more.
+fn silence_readers(
+    net: &mut Net,
+    silent: &[usize],
+    silent_after: Duration,
+    check_state: impl Fn(&Net, Time),
+) {
     let start = net.now;
     let n = net.nodes.len();
     while net.now.since(start) < IN_FORCE {
-        if net.now.since(start) >= told_for {
+        if net.now.since(start) >= silent_after {
             net.cut = silent.iter().flat_map(|i| (0..n).map(|j| (*i, j))).collect();
         }
         net.run(STEP);
-        look(net, start);
+        check_state(net, start);
         for i in readers(net) {
             if !silent.contains(&i) {
                 net.read(i, 2);
@@ -49,25 +54,31 @@
 #[test]
 fn a_change_is_in_force_in_time_whenever_the_readers_fall_silent() {
     for nodes in [3, 12, 36, 120] {
-        for told_ms in (0..=1_300).step_by(100) {
+        for silent_after_ms in (0..=1_300).step_by(100) {
             let (mut net, silent) = settled(nodes);
-            fall_silent(&mut net, &silent, Duration::from_millis(told_ms), |_, _| {});
+            silence_readers(&mut net, &silent, Duration::from_millis(silent_after_ms), |_, _| {});
             let in_force = net.in_force();
             let late: Vec<usize> =
                 (0..nodes).filter(|i| !silent.contains(i) && in_force[*i] < 2).collect();
-            assert!(late.is_empty(), "{nodes} nodes, told for {told_ms} ms: {late:?} are late");
+            assert!(
+                late.is_empty(),
+                "{nodes} nodes, readers silent after {silent_after_ms} ms: {late:?} are late"
+            );
         }
     }
 }
 
 #[test]
-fn nobody_takes_for_newest_what_was_proven_longer_ago_than_a_change_may_take() {
+fn no_copy_is_fresh_after_its_confirmation_is_older_than_a_change_may_take() {
     let (mut net, silent) = settled(12);
     net.cut = (0..12).flat_map(|i| (0..12).map(move |j| (i, j))).collect();
     net.cut.retain(|(from, _)| !silent.contains(from));
     let fresh = |net: &Net, start: Time| {
         let last = net.nodes.iter().filter(|it| it.duty().is_fresh(net.now)).count();
-        assert!(last == 0 || net.now.since(start) < IN_FORCE, "{last} nodes are sure");
+        assert!(
+            last == 0 || net.now.since(start) < IN_FORCE,
+            "{last} nodes consider their copy fresh"
+        );
     };
     let start = net.now;
     while net.now.since(start) < IN_FORCE * 2 {
@@ -77,7 +88,7 @@
 }
 
 #[test]
-fn a_node_that_cannot_get_a_newer_configuration_does_not_take_its_own_for_the_newest() {
+fn a_node_that_misses_a_newer_configuration_does_not_consider_its_own_fresh() {
     let (mut net, readers) = settled(12);
     let behind = (0..12).find(|i| !readers.contains(i)).unwrap();
     // The node receives from all others and reaches none of them.
