--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -13,20 +13,20 @@
 
 /// How long a node that did not answer is passed over at first; the time doubles while the node
 /// stays silent.
-const PASS_OVER: Duration = Duration::from_secs(1);
+const PASS_OVER_TIME: Duration = Duration::from_secs(1);
 /// Upper bound of that time.
-const MAX_PASS_OVER: Duration = Duration::from_secs(8);
+const MAX_PASS_OVER_TIME: Duration = Duration::from_secs(8);
 /// Unanswered asks after which a node is passed over. A single ask or its answer may be lost on a
 /// link that is full with an answer to a caller, and the successor does not know the slots in use.
-const ASKS_IN_VAIN: u32 = 3;
+const MAX_UNANSWERED_ASKS: u32 = 3;
 /// Silent nodes after which a node picks endpoints locally.
-const MAX_SILENT: u32 = 2;
+const MAX_SILENT_NODES: u32 = 2;
 /// A queued ask is repeated after this time, because the grant or the queue itself may be lost.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const QUEUED_ASK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long a grant is remembered. A repeated ask is answered repeatedly with the same slot; the
 /// later answers must not release the slot while the request uses it.
-const REMEMBER_GRANT: Duration = Duration::from_secs(5);
+const GRANT_MEMORY: Duration = Duration::from_secs(5);
 
 /// The dispatcher that hands out a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -74,14 +74,14 @@
 
 #[derive(Clone, Debug)]
 struct Pending {
-    wish: Wish,
+    request: Wish,
     place: Place,
-    asked: Time,
-    queued: bool,
+    asked_at: Time,
+    is_queued: bool,
     /// Asks at this place since its last answer.
-    asks: u32,
+    unanswered_asks: u32,
     /// Number of places asked without success.
-    vain: u32,
+    failed_places: u32,
 }
 
 /// A change in the reachability of a dispatching node.
@@ -111,7 +111,7 @@
     /// For each service, the place that holds this node's share of the fixed repeat budget, and
     /// when that place was last asked. Sent along with every ask, the share of one node was spent
     /// by every dispatching node asked within the window when frames were lost.
-    parts: FxHashMap<u64, (Place, Time)>,
+    budget_places: FxHashMap<u64, (Place, Time)>,
     /// Recently granted requests, and the place that granted them.
     granted: FxHashMap<PermitId, (Place, Time)>,
     next_forget: Time,
@@ -133,7 +133,7 @@
             timeout,
             pending: FxHashMap::default(),
             passed_over: FxHashMap::default(),
-            parts: FxHashMap::default(),
+            budget_places: FxHashMap::default(),
             granted: FxHashMap::default(),
             next_forget: Time(0),
             window,
@@ -149,10 +149,16 @@
     }
 
     /// Starts a permit request.
-    pub fn wish(&mut self, now: Time, wish: Wish, directory: &impl Directory) -> Action {
-        let id = wish.ask.id;
-        let pending =
-            Pending { wish, place: Place::Direct, asked: now, queued: false, asks: 0, vain: 0 };
+    pub fn wish(&mut self, now: Time, request: Wish, directory: &impl Directory) -> Action {
+        let id = request.ask.id;
+        let pending = Pending {
+            request,
+            place: Place::Direct,
+            asked_at: now,
+            is_queued: false,
+            unanswered_asks: 0,
+            failed_places: 0,
+        };
         self.pending.insert(id, pending);
         self.ask(now, id, directory)
     }
@@ -172,26 +178,26 @@
             self.contacts.push(Contact::Regained(node));
         }
         let Some(pending) = self.pending.get_mut(&id).filter(|it| it.place == place) else {
-            return self.unwanted(place, id, &reply);
+            return self.release_unwanted(place, id, &reply);
         };
         match reply {
             Reply::Queued => {
-                pending.queued = true;
-                pending.asks = 0;
-                pending.asked = now;
+                pending.is_queued = true;
+                pending.unanswered_asks = 0;
+                pending.asked_at = now;
                 None
             }
-            Reply::Full if pending.wish.ask.wait && place != Place::Direct => {
-                pending.vain += 1;
+            Reply::Full if pending.request.ask.wait && place != Place::Direct => {
+                pending.failed_places += 1;
                 if let Place::Peer(node) = place {
-                    self.passed_over.insert(node, (now + PASS_OVER, PASS_OVER));
+                    self.passed_over.insert(node, (now + PASS_OVER_TIME, PASS_OVER_TIME));
                     self.contacts.push(Contact::Lost(node));
                 }
                 Some(self.ask(now, id, directory))
             }
             Reply::Full => {
                 self.pending.remove(&id);
-                Some(Action::Settle(id, Settlement::Refused(PASS_OVER)))
+                Some(Action::Settle(id, Settlement::Refused(PASS_OVER_TIME)))
             }
             Reply::Granted(grant) => {
                 self.pending.remove(&id);
@@ -222,77 +228,86 @@
     /// Handles the asks that were not answered in time.
     pub fn tick(&mut self, now: Time, directory: &impl Directory) -> Vec<Action> {
         self.forget_grants(now);
-        let lost: Vec<PermitId> = self
+        let timed_out: Vec<PermitId> = self
             .pending
             .iter()
-            .filter(|(_, it)| it.is_lost(now, self.timeout))
+            .filter(|(_, it)| it.is_timed_out(now, self.timeout))
             .map(|(id, _)| *id)
             .collect();
-        lost.into_iter().flat_map(|id| self.lost(now, id, directory)).collect()
+        timed_out.into_iter().flat_map(|id| self.handle_timeout(now, id, directory)).collect()
     }
 
-    fn lost(&mut self, now: Time, id: PermitId, directory: &impl Directory) -> Vec<Action> {
+    fn handle_timeout(
+        &mut self,
+        now: Time,
+        id: PermitId,
+        directory: &impl Directory,
+    ) -> Vec<Action> {
         let Some(pending) = self.pending.get_mut(&id) else { return Vec::new() };
         let place = pending.place;
-        if now >= pending.wish.deadline {
+        if now >= pending.request.deadline {
             self.pending.remove(&id);
-            let refused = Action::Settle(id, Settlement::Refused(PASS_OVER));
-            return leave(place, id).into_iter().chain([refused]).collect();
+            let refused = Action::Settle(id, Settlement::Refused(PASS_OVER_TIME));
+            return release(place, id).into_iter().chain([refused]).collect();
         }
         let is_passed_over =
             |node| self.passed_over.get(&node).is_some_and(|(until, _)| now < *until);
         match place {
             // Another node may dispatch the service by now.
-            _ if std::mem::take(&mut pending.queued) => {}
-            Place::Peer(node) if pending.asks < ASKS_IN_VAIN && !is_passed_over(node) => {
+            _ if std::mem::take(&mut pending.is_queued) => {}
+            Place::Peer(node)
+                if pending.unanswered_asks < MAX_UNANSWERED_ASKS && !is_passed_over(node) =>
+            {
                 return vec![self.ask_at(now, id, place)];
             }
             Place::Peer(node) => {
-                pending.vain += 1;
+                pending.failed_places += 1;
                 self.timeouts += 1;
                 self.pass_over(now, node);
             }
-            Place::Own | Place::Direct => pending.vain += 1,
+            Place::Own | Place::Direct => pending.failed_places += 1,
         }
         let ask = self.ask(now, id, directory);
         let is_elsewhere = self.pending.get(&id).is_some_and(|it| it.place != place);
-        let left = leave(place, id).filter(|_| is_elsewhere);
-        left.into_iter().chain([ask]).collect()
+        let released = release(place, id).filter(|_| is_elsewhere);
+        released.into_iter().chain([ask]).collect()
     }
 
     /// Does not ask an unresponsive node for a while.
     pub fn pass_over(&mut self, now: Time, node: NodeId) {
-        let before = self.passed_over.get(&node).map(|(_, length)| *length);
-        if before.is_none() {
+        let previous = self.passed_over.get(&node).map(|(_, length)| *length);
+        if previous.is_none() {
             self.contacts.push(Contact::Lost(node));
         }
-        let length = before.map_or(PASS_OVER, |it| (it * 2).min(MAX_PASS_OVER));
+        let length = previous.map_or(PASS_OVER_TIME, |it| (it * 2).min(MAX_PASS_OVER_TIME));
         self.passed_over.insert(node, (now + length, length));
     }
 
     /// Asks the current dispatcher of the service.
     fn ask(&mut self, now: Time, id: PermitId, directory: &impl Directory) -> Action {
-        let pending = self.pending.get_mut(&id).expect("asked for pending wishes only");
-        let place = match pending.vain < MAX_SILENT {
-            true => place(self.me, &self.passed_over, now, pending.wish.service, directory),
+        let pending = self.pending.get_mut(&id).expect("only pending requests are asked for");
+        let place = match pending.failed_places < MAX_SILENT_NODES {
+            true => {
+                choose_place(self.me, &self.passed_over, now, pending.request.service, directory)
+            }
             false => Place::Direct,
         };
         if place != pending.place {
-            pending.asks = 0;
+            pending.unanswered_asks = 0;
         }
         self.ask_at(now, id, place)
     }
 
     fn ask_at(&mut self, now: Time, id: PermitId, place: Place) -> Action {
-        let pending = self.pending.get_mut(&id).expect("asked for pending wishes only");
+        let pending = self.pending.get_mut(&id).expect("only pending requests are asked for");
         pending.place = place;
-        pending.asked = now;
-        pending.asks += 1;
-        let wish = &mut pending.wish;
-        let service = wish.service;
-        let ask = Ask { left: wish.deadline.since(now), ..wish.ask.clone() };
-        wish.ask.send = ask.send.again();
-        let ask = Ask { brings_part: self.brings_part(now, service, place), ..ask };
+        pending.asked_at = now;
+        pending.unanswered_asks += 1;
+        let request = &mut pending.request;
+        let service = request.service;
+        let ask = Ask { left: request.deadline.since(now), ..request.ask.clone() };
+        request.ask.send = ask.send.again();
+        let ask = Ask { brings_part: self.carries_budget_share(now, service, place), ..ask };
         match place {
             Place::Peer(node) => Action::Send(node, PermitMessage::Ask { service, ask }),
             Place::Own => Action::AskHere(place, service, ask),
@@ -305,7 +320,7 @@
 
     /// The place that is currently asked for the slots of a service.
     pub fn place(&self, now: Time, service: u64, directory: &impl Directory) -> Place {
-        place(self.me, &self.passed_over, now, service, directory)
+        choose_place(self.me, &self.passed_over, now, service, directory)
     }
 
     /// Whether a node is passed over now.
@@ -320,12 +335,12 @@
 
     /// Whether an ask at `place` carries this node's share of the budget. The share moves to
     /// another place only after its former place was not asked for a whole window.
-    fn brings_part(&mut self, now: Time, service: u64, place: Place) -> bool {
-        let known = self.parts.get(&service);
+    fn carries_budget_share(&mut self, now: Time, service: u64, place: Place) -> bool {
+        let known = self.budget_places.get(&service);
         let is_elsewhere =
             known.is_some_and(|(it, at)| *it != place && now.since(*at) < self.window);
         if !is_elsewhere {
-            self.parts.insert(service, (place, now));
+            self.budget_places.insert(service, (place, now));
         }
         !is_elsewhere
     }
@@ -333,36 +348,36 @@
 
 impl Client {
     /// Gives back a slot that arrives after its request was completed or moved to another place.
-    fn unwanted(&self, place: Place, id: PermitId, reply: &Reply) -> Option<Action> {
+    fn release_unwanted(&self, place: Place, id: PermitId, reply: &Reply) -> Option<Action> {
         let is_in_use = self.granted.get(&id).is_some_and(|(it, _)| *it == place);
         match reply {
-            Reply::Granted(_) if !is_in_use => leave(place, id),
+            Reply::Granted(_) if !is_in_use => release(place, id),
             _ => None,
         }
     }
 
     fn forget_grants(&mut self, now: Time) {
         if now >= self.next_forget {
-            self.next_forget = now + REMEMBER_GRANT;
-            self.granted.retain(|_, (_, at)| now.since(*at) < REMEMBER_GRANT);
+            self.next_forget = now + GRANT_MEMORY;
+            self.granted.retain(|_, (_, at)| now.since(*at) < GRANT_MEMORY);
         }
     }
 }
 
 impl Pending {
-    fn is_lost(&self, now: Time, timeout: Duration) -> bool {
-        let patience = match (self.queued, self.place) {
-            (true, Place::Peer(_)) => ASK_AGAIN,
+    fn is_timed_out(&self, now: Time, timeout: Duration) -> bool {
+        let limit = match (self.is_queued, self.place) {
+            (true, Place::Peer(_)) => QUEUED_ASK_INTERVAL,
             (false, Place::Peer(_)) => timeout,
             // A local queue replies without being asked again.
-            (_, Place::Direct | Place::Own) => return now >= self.wish.deadline,
+            (_, Place::Direct | Place::Own) => return now >= self.request.deadline,
         };
-        now >= self.wish.deadline || now.since(self.asked) >= patience
+        now >= self.request.deadline || now.since(self.asked_at) >= limit
     }
 }
 
 /// The best candidate for a service that is not passed over.
-fn place(
+fn choose_place(
     me: NodeId,
     passed_over: &FxHashMap<NodeId, (Time, Duration)>,
     now: Time,
@@ -379,7 +394,7 @@
 
 /// Releases what a node may have granted to a request that moved to another place: its answer may
 /// have been lost.
-fn leave(place: Place, id: PermitId) -> Option<Action> {
+fn release(place: Place, id: PermitId) -> Option<Action> {
     match place {
         Place::Peer(node) => Some(Action::Send(node, PermitMessage::Release { id, outcome: None })),
         Place::Own | Place::Direct => None,
--- a/crates/fleet/src/tests/permits.rs
+++ b/crates/fleet/src/tests/permits.rs
@@ -18,7 +18,7 @@
     }
 }
 
-fn wish() -> Wish {
+fn permit_request() -> Wish {
     let ask = Ask {
         id: PermitId { node: ME, seq: 1 },
         reporter: Reporter { node: ME, failure_domain: 0 },
@@ -59,7 +59,7 @@
 }
 
 /// Describes an action in a few words, such as `ask 2` or `direct`.
-fn name(action: &Action) -> String {
+fn describe(action: &Action) -> String {
     match action {
         Action::AskHere(Place::Direct, ..) => "direct".into(),
         Action::AskHere(place, ..) => format!("here {place:?}"),
@@ -74,24 +74,24 @@
 
 fn start(table: &Table) -> (Client, String) {
     let mut client = Client::new(ME, TIMEOUT, Duration::from_secs(10));
-    let action = client.wish(Time(0), wish(), table);
-    let first = name(&action);
+    let action = client.wish(Time(0), permit_request(), table);
+    let first = describe(&action);
     (client, first)
 }
 
 fn reply(client: &mut Client, table: &Table, from: u64, reply: Reply) -> String {
     let place = Place::Peer(NodeId(from));
-    let action = client.reply(Time(1), place, wish().ask.id, reply, table);
-    action.as_ref().map_or("nothing".into(), name)
+    let action = client.reply(Time(1), place, permit_request().ask.id, reply, table);
+    action.as_ref().map_or("nothing".into(), describe)
 }
 
 fn tick(client: &mut Client, table: &Table, ms: u64) -> Vec<String> {
     let now = Time(0) + Duration::from_millis(ms);
-    client.tick(now, table).iter().map(name).collect()
+    client.tick(now, table).iter().map(describe).collect()
 }
 
 /// The node that was asked first does not answer, and the next one is asked.
-fn ask_in_vain(client: &mut Client, table: &Table) {
+fn ask_without_answer(client: &mut Client, table: &Table) {
     let asked: Vec<String> =
         [10, 20, 30].into_iter().flat_map(|it| tick(client, table, it)).collect();
     assert_eq!(asked, ["ask 2", "ask 2", "release 2", "ask 3"]);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_first_node_is_asked_and_may_let_the_request_wait() {
+fn the_first_node_is_asked_and_may_queue_the_request() {
     let table = three_nodes();
     let (mut client, first) = start(&table);
     assert_eq!(first, "ask 2");
@@ -120,10 +120,10 @@
 }
 
 #[test]
-fn a_hedge_does_not_look_further() {
+fn a_refused_hedge_asks_no_other_node() {
     let table = three_nodes();
     let mut client = Client::new(ME, TIMEOUT, Duration::from_secs(10));
-    let mut hedge = wish();
+    let mut hedge = permit_request();
     hedge.ask.wait = false;
     client.wish(Time(0), hedge, &table);
     assert_eq!(reply(&mut client, &table, 2, Reply::Full), "refused");
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn with_nobody_to_ask_a_node_picks_for_itself() {
+fn without_dispatching_nodes_a_node_picks_locally() {
     let table = Table(Vec::new());
     let (client, first) = start(&table);
     assert_eq!(first, "direct");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_silent_node_is_passed_over_for_its_successor_and_then_for_oneself() {
+fn a_silent_node_is_passed_over_for_its_successor_and_then_for_a_local_pick() {
     let table = three_nodes();
     let (mut client, _) = start(&table);
     assert!(tick(&mut client, &table, 9).is_empty());
@@ -156,17 +156,17 @@
     assert_eq!(tick(&mut client, &table, 50), ["ask 3"]);
     assert_eq!(tick(&mut client, &table, 60), ["release 3", "direct"]);
     // The next request does not wait for the silent nodes again.
-    let mut other = wish();
+    let mut other = permit_request();
     other.ask.id.seq = 2;
     let action = client.wish(Time(0) + Duration::from_millis(70), other, &table);
-    assert_eq!(name(&action), "ask 4");
+    assert_eq!(describe(&action), "ask 4");
 }
 
 #[test]
-fn a_grant_that_comes_too_late_is_given_back() {
+fn a_late_grant_is_given_back() {
     let table = three_nodes();
     let (mut client, _) = start(&table);
-    ask_in_vain(&mut client, &table);
+    ask_without_answer(&mut client, &table);
     assert_eq!(reply(&mut client, &table, 2, Reply::Granted(grant())), "release 2");
     let granted = reply(&mut client, &table, 3, Reply::Granted(grant()));
     assert_eq!(granted, "granted by Peer(NodeId(3))");
@@ -185,26 +185,26 @@
 }
 
 #[test]
-fn past_the_deadline_the_wish_is_refused() {
+fn a_request_is_refused_after_its_deadline() {
     let table = three_nodes();
     let (mut client, _) = start(&table);
     assert_eq!(tick(&mut client, &table, 1_000), ["release 2", "refused"]);
 }
 
 #[test]
-fn a_withdrawn_wish_takes_no_slot() {
+fn a_withdrawn_request_takes_no_slot() {
     let table = three_nodes();
     let (mut client, _) = start(&table);
-    assert_eq!(client.withdraw(wish().ask.id), Some(Place::Peer(NodeId(2))));
+    assert_eq!(client.withdraw(permit_request().ask.id), Some(Place::Peer(NodeId(2))));
     assert_eq!(reply(&mut client, &table, 2, Reply::Granted(grant())), "release 2");
 }
 
 #[test]
-fn a_node_that_is_lost_and_regained_is_told_of_once_each() {
+fn a_lost_and_regained_node_is_reported_once_each() {
     let table = three_nodes();
     let (mut client, _) = start(&table);
     assert_eq!(client.take_contacts(), []);
-    ask_in_vain(&mut client, &table);
+    ask_without_answer(&mut client, &table);
     assert_eq!(client.take_contacts(), [Contact::Lost(NodeId(2))]);
     // A late answer regains the node; the second answer changes nothing.
     reply(&mut client, &table, 2, Reply::Queued);
@@ -216,7 +216,7 @@
 /// same slot; the second answer was taken for an unwanted slot and the slot was released, so that
 /// the running request was counted nowhere.
 #[test]
-fn a_grant_that_is_said_twice_gives_back_no_slot_in_use() {
+fn a_repeated_grant_releases_no_slot_in_use() {
     let table = three_nodes();
     let (mut client, _) = start(&table);
     reply(&mut client, &table, 2, Reply::Queued);
