--- a/crates/fleet/src/delivery.rs
+++ b/crates/fleet/src/delivery.rs
@@ -18,7 +18,7 @@
 const RESEND_AFTER: Duration = Duration::from_millis(80);
 /// Upper bound of the interval between two sends of a message; the interval doubles up to this
 /// bound.
-const MAX_RESEND_AFTER: Duration = Duration::from_millis(160);
+const MAX_RESEND_INTERVAL: Duration = Duration::from_millis(160);
 /// A message is given up after this time; permits that were not renewed have expired by then.
 const LIFETIME: Duration = Duration::from_secs(3);
 /// Maximum number of messages held for one peer; the oldest are given up first.
@@ -29,7 +29,7 @@
 
 /// A message is too long for a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a message about slots of {bytes} bytes fits no frame: split it into several")]
+#[error("a slot message of {bytes} bytes does not fit into a frame: split it into several")]
 pub struct MessageTooLong {
     bytes: usize,
 }
@@ -55,21 +55,21 @@
 #[derive(Debug, Default)]
 struct Outbox {
     next_number: u64,
-    held: VecDeque<Held>,
+    held: VecDeque<PendingMessage>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct PendingMessage {
     number: u64,
     message: PermitMessage,
     /// Encoded length in a frame, with the number.
     bytes: usize,
     /// When the message was first sent.
-    sent: Time,
+    first_sent: Time,
     expires: Time,
     due: Time,
     /// Interval before the next send.
-    pause: Duration,
+    resend_interval: Duration,
 }
 
 /// Message numbers received from one peer.
@@ -77,11 +77,11 @@
 struct Inbox {
     stream: u32,
     /// The previous stream, whose frames may still arrive late.
-    former: Option<u32>,
+    former_stream: Option<u32>,
     /// All lower numbers were received or given up.
-    complete_to: u64,
-    taken: FxHashSet<u64>,
-    heard: Time,
+    complete_below: u64,
+    received: FxHashSet<u64>,
+    last_seen: Time,
 }
 
 impl Delivery {
@@ -118,14 +118,14 @@
             self.given_up += 1;
         }
         let due = now + RESEND_AFTER;
-        outbox.held.push_back(Held {
+        outbox.held.push_back(PendingMessage {
             number,
             message: message.clone(),
             bytes,
-            sent: now,
+            first_sent: now,
             expires: now + LIFETIME,
             due,
-            pause: RESEND_AFTER * 2,
+            resend_interval: RESEND_AFTER * 2,
         });
         self.due = Some(self.due.map_or(due, |it| it.min(due)));
         let oldest = outbox.oldest();
@@ -139,14 +139,14 @@
         let numbers = messages.iter().map(|(number, _)| *number).collect();
         let ack = Ack { stream, numbers };
         let inbox = self.inboxes.entry(from).or_insert_with(|| Inbox::new(now, stream, None));
-        if inbox.former == Some(stream) {
+        if inbox.former_stream == Some(stream) {
             return (Vec::new(), ack);
         }
         if inbox.stream != stream {
             *inbox = Inbox::new(now, stream, Some(inbox.stream));
         }
-        inbox.heard = now;
-        let new = messages.into_iter().filter(|(number, _)| inbox.take(*number));
+        inbox.last_seen = now;
+        let new = messages.into_iter().filter(|(number, _)| inbox.record(*number));
         let new = new.map(|(_, message)| message).collect();
         inbox.complete(oldest);
         (new, ack)
@@ -160,9 +160,9 @@
         };
         let mut sent = Vec::new();
         outbox.held.retain(|it| {
-            let is_concerned = ack.numbers.contains(&it.number);
-            sent.extend(is_concerned.then_some(it.sent));
-            !is_concerned
+            let is_acknowledged = ack.numbers.contains(&it.number);
+            sent.extend(is_acknowledged.then_some(it.first_sent));
+            !is_acknowledged
         });
         if outbox.held.is_empty() && self.outboxes.values().all(|it| it.held.is_empty()) {
             self.due = None;
@@ -203,7 +203,7 @@
     fn forget(&mut self, now: Time) {
         if now >= self.next_forget {
             self.next_forget = now + FORGET_AFTER;
-            self.inboxes.retain(|_, it| now.since(it.heard) < FORGET_AFTER);
+            self.inboxes.retain(|_, it| now.since(it.last_seen) < FORGET_AFTER);
         }
     }
 }
@@ -223,38 +223,47 @@
     /// Takes the messages to send again, grouped by frame.
     fn take_due(&mut self, now: Time) -> Vec<Vec<(u64, PermitMessage)>> {
         let mut frames: Vec<Vec<_>> = Vec::new();
-        let mut room = 0;
+        let mut space_left = 0;
         for it in self.held.iter_mut().filter(|it| it.due <= now) {
-            it.due = now + it.pause;
-            it.pause = (it.pause * 2).min(MAX_RESEND_AFTER);
-            if it.bytes > room {
+            it.due = now + it.resend_interval;
+            it.resend_interval = (it.resend_interval * 2).min(MAX_RESEND_INTERVAL);
+            if it.bytes > space_left {
                 frames.push(Vec::new());
-                room = MAX_BATCH_BYTES;
+                space_left = MAX_BATCH_BYTES;
             }
-            room -= it.bytes;
-            frames.last_mut().expect("one was begun").push((it.number, it.message.clone()));
+            space_left -= it.bytes;
+            frames
+                .last_mut()
+                .expect("a frame was started above")
+                .push((it.number, it.message.clone()));
         }
         frames
     }
 }
 
 impl Inbox {
-    fn new(now: Time, stream: u32, former: Option<u32>) -> Self {
-        Self { stream, former, complete_to: 0, taken: FxHashSet::default(), heard: now }
+    fn new(now: Time, stream: u32, former_stream: Option<u32>) -> Self {
+        Self {
+            stream,
+            former_stream,
+            complete_below: 0,
+            received: FxHashSet::default(),
+            last_seen: now,
+        }
     }
 
     /// Records a number; returns whether it is new.
-    fn take(&mut self, number: u64) -> bool {
-        number >= self.complete_to && self.taken.insert(number)
+    fn record(&mut self, number: u64) -> bool {
+        number >= self.complete_below && self.received.insert(number)
     }
 
     /// Records that numbers below `oldest` do not arrive again.
     fn complete(&mut self, oldest: u64) {
-        self.complete_to = self.complete_to.max(oldest);
-        while self.taken.remove(&self.complete_to) {
-            self.complete_to = self.complete_to.saturating_add(1);
+        self.complete_below = self.complete_below.max(oldest);
+        while self.received.remove(&self.complete_below) {
+            self.complete_below = self.complete_below.saturating_add(1);
         }
-        let complete_to = self.complete_to;
-        self.taken.retain(|it| *it >= complete_to);
+        let complete_below = self.complete_below;
+        self.received.retain(|it| *it >= complete_below);
     }
 }
--- a/crates/fleet/src/tests/delivery.rs
+++ b/crates/fleet/src/tests/delivery.rs
@@ -21,7 +21,7 @@
 fn seq(message: &PermitMessage) -> u64 {
     match message {
         PermitMessage::Release { id, .. } => id.seq,
-        other => panic!("nobody sent {other:?}"),
+        other => panic!("unexpected message {other:?}"),
     }
 }
 
@@ -51,11 +51,11 @@
     let (_, ack) = Delivery::new(9).receive(ms(1), SENDER, batch);
     assert_eq!(delivery.acknowledged(RECEIVER, &ack), [ms(0)]);
     assert_eq!((delivery.held(), delivery.due()), (0, None));
-    assert_eq!(delivery.acknowledged(RECEIVER, &ack), [], "it is told once");
+    assert_eq!(delivery.acknowledged(RECEIVER, &ack), [], "reported once");
 }
 
 #[test]
-fn an_acknowledgement_for_a_process_before_is_none() {
+fn an_acknowledgement_for_a_former_process_is_ignored() {
     let mut delivery = Delivery::new(2);
     delivery.send(ms(0), RECEIVER, message(1)).unwrap();
     delivery.acknowledged(RECEIVER, &Ack { stream: 1, numbers: vec![0] });
@@ -63,17 +63,17 @@
 }
 
 #[test]
-fn a_message_that_fits_no_frame_is_refused() {
+fn a_message_that_does_not_fit_into_a_frame_is_refused() {
     let ids = vec![PermitId { node: NodeId(u64::MAX), seq: u64::MAX }; 60];
     let error = Delivery::new(1).send(ms(0), RECEIVER, PermitMessage::Renew { ids });
     let expect =
-        expect!["a message about slots of 1212 bytes fits no frame: split it into several"];
+        expect!["a slot message of 1212 bytes does not fit into a frame: split it into several"];
     expect.assert_eq(&error.unwrap_err().to_string());
 }
 
 /// Every repeated frame and its acknowledgement fit into a datagram, even with the largest numbers.
 #[test]
-fn all_that_is_sent_again_fits_datagrams() {
+fn repeated_frames_fit_datagrams() {
     let keys = Keys { current: Key::new(b"k"), also: None };
     let mut delivery = Delivery::new(u32::MAX);
     for seq in 0..300 {
@@ -99,25 +99,25 @@
 #[track_caller]
 fn check(batches: &[(u32, u64, &[u64])], expect: Expect) {
     let mut delivery = Delivery::new(9);
-    let taken = batches.iter().map(|(stream, oldest, numbers)| {
+    let received = batches.iter().map(|(stream, oldest, numbers)| {
         let messages = numbers.iter().map(|it| (*it, message(*it))).collect();
         let batch = Batch { stream: *stream, oldest: *oldest, messages };
         let (new, ack) = delivery.receive(ms(0), SENDER, batch);
         assert_eq!(ack.numbers, *numbers, "all that has arrived is acknowledged");
         format!("{:?}", new.iter().map(seq).collect::<Vec<_>>())
     });
-    expect.assert_eq(&taken.collect::<Vec<_>>().join(" "));
+    expect.assert_eq(&received.collect::<Vec<_>>().join(" "));
 }
 
 #[test]
-fn each_number_is_taken_in_once() {
+fn each_number_is_processed_once() {
     check(&[(1, 0, &[0]), (1, 0, &[0, 1]), (1, 0, &[1])], expect!["[0] [1] []"]);
     // The sender holds no number below two any more: the second batch is an old frame.
     check(&[(1, 2, &[3]), (1, 0, &[0, 1]), (1, 2, &[2, 3])], expect!["[3] [] [2]"]);
 }
 
 #[test]
-fn numbers_begin_anew_with_a_new_process() {
+fn numbers_start_again_with_a_new_process() {
     check(&[(1, 0, &[0, 1]), (2, 0, &[0]), (2, 0, &[0, 1])], expect!["[0, 1] [0] [1]"]);
     // A late frame of the former process is ignored.
     check(&[(1, 0, &[0]), (2, 0, &[0]), (1, 0, &[1]), (2, 0, &[1])], expect!["[0] [0] [] [1]"]);
@@ -127,7 +127,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Link {
     lost: f64,
-    doubled: f64,
+    duplicated: f64,
     delay_ms: u64,
     /// Whether the sender restarts half-way.
     restarts: bool,
@@ -150,7 +150,7 @@
 
 impl Net {
     fn send(&mut self, now: u64, frame: Sent) {
-        let copies = 1 + u64::from(self.rng.random_bool(self.link.doubled));
+        let copies = 1 + u64::from(self.rng.random_bool(self.link.duplicated));
         for _ in 0..copies {
             self.sent += 1;
             if !self.rng.random_bool(self.link.lost) {
@@ -163,20 +163,20 @@
 
 const MESSAGES: u64 = 400;
 /// Interval between messages, in milliseconds.
-const EVERY: u64 = 7;
+const MESSAGE_INTERVAL: u64 = 7;
 
 /// Returns how often each message was received.
-fn play(link: Link) -> Vec<u32> {
+fn simulate(link: Link) -> Vec<u32> {
     let rng = StdRng::seed_from_u64(link.seed);
     let mut net = Net { link, rng, frames: BTreeMap::new(), sent: 0 };
     let (mut sender, mut receiver) = (Delivery::new(1), Delivery::new(9));
-    let mut taken = vec![0; MESSAGES as usize];
-    for now in 0..MESSAGES * EVERY + 4_000 {
-        if link.restarts && now == MESSAGES * EVERY / 2 {
+    let mut received = vec![0; MESSAGES as usize];
+    for now in 0..MESSAGES * MESSAGE_INTERVAL + 4_000 {
+        if link.restarts && now == MESSAGES * MESSAGE_INTERVAL / 2 {
             sender = Delivery::new(2);
         }
-        if now % EVERY == 0 && now / EVERY < MESSAGES {
-            let batch = sender.send(ms(now), RECEIVER, message(now / EVERY)).unwrap();
+        if now % MESSAGE_INTERVAL == 0 && now / MESSAGE_INTERVAL < MESSAGES {
+            let batch = sender.send(ms(now), RECEIVER, message(now / MESSAGE_INTERVAL)).unwrap();
             net.send(now, Sent::Batch(batch));
         }
         for (_, batch) in sender.tick(ms(now)) {
@@ -186,7 +186,7 @@
             match entry.remove() {
                 Sent::Batch(batch) => {
                     let (new, ack) = receiver.receive(ms(now), SENDER, batch);
-                    new.iter().for_each(|it| taken[seq(it) as usize] += 1);
+                    new.iter().for_each(|it| received[seq(it) as usize] += 1);
                     net.send(now, Sent::Ack(ack));
                 }
                 Sent::Ack(ack) => {
@@ -195,14 +195,14 @@
             }
         }
     }
-    taken
+    received
 }
 
 fn links() -> impl Strategy<Value = Link> {
     (0.0..0.4, 0.0..0.5, 0..150u64, any::<bool>(), any::<u64>()).prop_map(
-        |(lost, doubled, delay_ms, restarts, seed)| Link {
+        |(lost, duplicated, delay_ms, restarts, seed)| Link {
             lost,
-            doubled,
+            duplicated,
             delay_ms,
             restarts,
             seed,
@@ -216,10 +216,10 @@
     /// No message is processed twice. While its sender runs, no message is lost, except for one in
     /// a hundred thousand whose frames are lost eleven times.
     #[test]
-    fn messages_arrive_once_over_links_that_lose_double_and_delay(link in links()) {
-        let taken = play(link);
-        prop_assert!(taken.iter().all(|it| *it <= 1), "{taken:?}");
+    fn messages_arrive_once_over_links_that_lose_duplicate_and_delay(link in links()) {
+        let received = simulate(link);
+        prop_assert!(received.iter().all(|it| *it <= 1), "{received:?}");
         let since_restart = if link.restarts { MESSAGES as usize / 2 + 1 } else { 0 };
-        prop_assert!(taken[since_restart..].iter().all(|it| *it == 1), "{taken:?}");
+        prop_assert!(received[since_restart..].iter().all(|it| *it == 1), "{received:?}");
     }
 }
