--- a/crates/fleet/src/allowances/client.rs
+++ b/crates/fleet/src/allowances/client.rs
@@ -9,16 +9,16 @@
 
 /// Unanswered asks after which an owner is passed over. A successor can grant next to nothing to
 /// the few nodes that turn to it, so waiting for a late owner is better than asking the next one.
-const ASKS_IN_VAIN: u32 = 6;
+const MAX_UNANSWERED_ASKS: u32 = 6;
 /// Silent owners after which a node uses its own share alone.
-const MAX_SILENT: u32 = 2;
+const MAX_SILENT_OWNERS: u32 = 2;
 /// Each owner receives the delegation of every node at least this often, which is three times
 /// during the validity of a share.
-const ENTRUST_EVERY: Duration = Duration::from_millis(500);
+const DELEGATE_INTERVAL: Duration = Duration::from_millis(500);
 /// Delegations to the first owners carry a mark for this long, because a few messages may be lost.
-const FIRST_FOR: Duration = Duration::from_secs(3);
+const FIRST_OWNERS_FOR: Duration = Duration::from_secs(3);
 /// Maximum number of organisations for which a node remembers an exhausted bucket.
-const MAX_CLOSED: usize = 4_096;
+const MAX_EXHAUSTED: usize = 4_096;
 
 /// Outcome of an ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,16 +54,16 @@
 struct Pending {
     organisation: u64,
     owner: NodeId,
-    asked: Time,
-    /// Number of asks at this owner.
-    asks: u32,
+    asked_at: Time,
+    /// Asks at this owner since its last answer.
+    unanswered_asks: u32,
     /// Number of owners that did not answer.
-    silent: u32,
+    silent_owners: u32,
 }
 
 /// An exhausted bucket: until then asking is without success.
 #[derive(Clone, Copy, Debug)]
-struct Closed {
+struct Exhausted {
     until: Time,
     retry_at: Time,
 }
@@ -75,52 +75,52 @@
     timeout: Duration,
     next_seq: u64,
     pending: FxHashMap<u64, Pending>,
-    closed: FxHashMap<u64, Closed>,
+    exhausted: FxHashMap<u64, Exhausted>,
     /// When each owner was last sent the delegation of this node.
-    told: FxHashMap<NodeId, Time>,
+    last_delegated: FxHashMap<NodeId, Time>,
     /// The owners named in the last delegations.
-    named: Vec<NodeId>,
+    named_owners: Vec<NodeId>,
     /// Distinguishes this incarnation of the process from earlier ones.
-    life: u32,
+    incarnation: u32,
     /// The first owners named after the discovery of the fleet, and until when their delegations
     /// carry the mark of first owners.
-    first: Option<(Vec<NodeId>, Time)>,
+    first_owners: Option<(Vec<NodeId>, Time)>,
     /// Number of asks completed without an owner.
     pub alone: u64,
 }
 
 impl AllowanceClient {
     /// Creates the client of the node `me`. Asks without an answer for `timeout` are repeated.
-    /// `life` differs between incarnations of the node.
-    pub fn new(me: NodeId, timeout: Duration, life: u32) -> Self {
+    /// `incarnation` differs between incarnations of the node.
+    pub fn new(me: NodeId, timeout: Duration, incarnation: u32) -> Self {
         Self {
             me,
             timeout,
-            life,
-            first: None,
-            next_seq: life.into(),
+            incarnation,
+            first_owners: None,
+            next_seq: incarnation.into(),
             pending: FxHashMap::default(),
-            closed: FxHashMap::default(),
-            told: FxHashMap::default(),
-            named: Vec::new(),
+            exhausted: FxHashMap::default(),
+            last_delegated: FxHashMap::default(),
+            named_owners: Vec::new(),
             alone: 0,
         }
     }
 
     /// Records that this node has discovered the fleet and names these owners from now on.
     pub fn know_fleet(&mut self, now: Time, owners: &[NodeId]) {
-        if self.first.is_none() {
-            self.first = Some((owners.to_vec(), now + FIRST_FOR));
+        if self.first_owners.is_none() {
+            self.first_owners = Some((owners.to_vec(), now + FIRST_OWNERS_FOR));
             // The owners have to be notified at once.
-            self.told.clear();
+            self.last_delegated.clear();
         }
     }
 
     /// The delegation that this node sends to an owner.
     pub fn entrusted(&self, now: Time, owners: &[NodeId], to: NodeId) -> Entrusted {
         let is_first =
-            self.first.as_ref().is_some_and(|(it, until)| now < *until && it.contains(&to));
-        Entrusted { owners: owners.to_vec(), life: self.life, is_first }
+            self.first_owners.as_ref().is_some_and(|(it, until)| now < *until && it.contains(&to));
+        Entrusted { owners: owners.to_vec(), life: self.incarnation, is_first }
     }
 
     /// Whether no ask is pending.
@@ -137,12 +137,18 @@
     ) -> (u64, AllowanceAction) {
         let seq = self.next_seq;
         self.next_seq += 1;
-        if let Some(it) = self.closed.get(&organisation).filter(|it| now < it.until) {
+        if let Some(it) = self.exhausted.get(&organisation).filter(|it| now < it.until) {
             let (next, retry_after) = (it.until.since(now), it.retry_at.since(now));
             let decision = Decision::Exhausted { next, retry_after: retry_after.max(next) };
             return (seq, AllowanceAction::Settle(seq, AllowanceOutcome::Decided(decision)));
         }
-        let pending = Pending { organisation, owner: self.me, asked: now, asks: 0, silent: 0 };
+        let pending = Pending {
+            organisation,
+            owner: self.me,
+            asked_at: now,
+            unanswered_asks: 0,
+            silent_owners: 0,
+        };
         self.pending.insert(seq, pending);
         (seq, self.ask_owner(now, seq, owners))
     }
@@ -157,18 +163,18 @@
     ) -> Option<AllowanceAction> {
         if decision == Decision::NotYet {
             let pending = self.pending.get_mut(&seq)?;
-            pending.asks = 0;
+            pending.unanswered_asks = 0;
             return None;
         }
         let pending = self.pending.remove(&seq)?;
         if let Decision::Exhausted { next, retry_after } = decision {
-            if self.closed.len() >= MAX_CLOSED {
-                self.closed.retain(|_, it| now < it.until);
+            if self.exhausted.len() >= MAX_EXHAUSTED {
+                self.exhausted.retain(|_, it| now < it.until);
             }
-            let closed = Closed { until: now + next, retry_at: now + retry_after };
-            self.closed.insert(pending.organisation, closed);
+            let exhausted = Exhausted { until: now + next, retry_at: now + retry_after };
+            self.exhausted.insert(pending.organisation, exhausted);
         }
-        let is_alone = from == self.me && pending.silent >= MAX_SILENT;
+        let is_alone = from == self.me && pending.silent_owners >= MAX_SILENT_OWNERS;
         let outcome = match decision {
             Decision::Exhausted { .. } if is_alone => AllowanceOutcome::Unknown,
             _ => AllowanceOutcome::Decided(decision),
@@ -179,18 +185,18 @@
     /// Repeats the asks that were not answered in time, and sends the delegation to owners at
     /// regular intervals.
     pub fn tick(&mut self, now: Time, owners: &[NodeId]) -> Vec<AllowanceAction> {
-        let is_late = |it: &Pending| now.since(it.asked) >= self.timeout;
+        let is_late = |it: &Pending| now.since(it.asked_at) >= self.timeout;
         let late: Vec<u64> =
             self.pending.iter().filter(|(_, it)| is_late(it)).map(|(seq, _)| *seq).collect();
         let mut actions = Vec::new();
         for seq in late {
-            self.is_late(now, seq, owners, &mut actions);
+            self.retry_late(now, seq, owners, &mut actions);
         }
-        self.told.retain(|_, at| now.since(*at) < ENTRUST_EVERY);
-        actions.extend(self.leave_former(now, owners));
+        self.last_delegated.retain(|_, at| now.since(*at) < DELEGATE_INTERVAL);
+        actions.extend(self.notify_former_owners(now, owners));
         for owner in owners.iter().filter(|it| **it != self.me) {
-            if !self.told.contains_key(owner) {
-                self.told.insert(*owner, now);
+            if !self.last_delegated.contains_key(owner) {
+                self.last_delegated.insert(*owner, now);
                 let message = AllowanceMessage::Entrust(self.entrusted(now, owners, *owner));
                 actions.push(AllowanceAction::Send(*owner, message));
             }
@@ -200,21 +206,22 @@
 
     /// Notifies owners that are named no more: they would count this node's share in addition to
     /// the owners that hold it now.
-    fn leave_former(&mut self, now: Time, owners: &[NodeId]) -> Vec<AllowanceAction> {
-        if self.named == owners {
+    fn notify_former_owners(&mut self, now: Time, owners: &[NodeId]) -> Vec<AllowanceAction> {
+        if self.named_owners == owners {
             return Vec::new();
         }
-        self.told.clear();
-        let former = std::mem::replace(&mut self.named, owners.to_vec());
-        let left = former.into_iter().filter(|it| !owners.contains(it) && *it != self.me);
-        left.map(|it| {
-            let entrusted = self.entrusted(now, owners, it);
-            AllowanceAction::Send(it, AllowanceMessage::Entrust(entrusted))
-        })
-        .collect()
+        self.last_delegated.clear();
+        let former = std::mem::replace(&mut self.named_owners, owners.to_vec());
+        let removed = former.into_iter().filter(|it| !owners.contains(it) && *it != self.me);
+        removed
+            .map(|it| {
+                let entrusted = self.entrusted(now, owners, it);
+                AllowanceAction::Send(it, AllowanceMessage::Entrust(entrusted))
+            })
+            .collect()
     }
 
-    fn is_late(
+    fn retry_late(
         &mut self,
         now: Time,
         seq: u64,
@@ -222,43 +229,43 @@
         actions: &mut Vec<AllowanceAction>,
     ) {
         let Some(pending) = self.pending.get_mut(&seq) else { return };
-        let silent = pending.owner;
-        let mut left = owners.to_vec();
+        let silent_owner = pending.owner;
+        let mut remaining = owners.to_vec();
         // The owner on this node answers as soon as the fleet is discovered.
-        if pending.asks >= ASKS_IN_VAIN && silent != self.me {
-            pending.silent += 1;
-            pending.asks = 0;
-            left.retain(|it| *it != silent);
-            actions.push(AllowanceAction::PassOver(silent));
+        if pending.unanswered_asks >= MAX_UNANSWERED_ASKS && silent_owner != self.me {
+            pending.silent_owners += 1;
+            pending.unanswered_asks = 0;
+            remaining.retain(|it| *it != silent_owner);
+            actions.push(AllowanceAction::PassOver(silent_owner));
         }
-        actions.push(self.ask_owner(now, seq, &left));
+        actions.push(self.ask_owner(now, seq, &remaining));
     }
 
     fn ask_owner(&mut self, now: Time, seq: u64, owners: &[NodeId]) -> AllowanceAction {
-        let pending = self.pending.get_mut(&seq).expect("asked for pending asks only");
+        let pending = self.pending.get_mut(&seq).expect("only pending asks are sent");
         let organisation = pending.organisation;
-        let owner = match pending.silent < MAX_SILENT {
+        let owner = match pending.silent_owners < MAX_SILENT_OWNERS {
             true => owner_of(organisation, owners),
             false => None,
         };
-        pending.asked = now;
+        pending.asked_at = now;
         let Some(owner) = owner else {
-            pending.silent = MAX_SILENT;
+            pending.silent_owners = MAX_SILENT_OWNERS;
             pending.owner = self.me;
             self.alone += 1;
             let entrusted = self.entrusted(now, &[self.me], self.me);
             return AllowanceAction::AskHere { seq, organisation, entrusted };
         };
         if owner != pending.owner {
-            pending.asks = 0;
+            pending.unanswered_asks = 0;
         }
         pending.owner = owner;
-        pending.asks += 1;
+        pending.unanswered_asks += 1;
         let entrusted = self.entrusted(now, owners, owner);
         if owner == self.me {
             return AllowanceAction::AskHere { seq, organisation, entrusted };
         }
-        self.told.insert(owner, now);
+        self.last_delegated.insert(owner, now);
         AllowanceAction::Send(owner, AllowanceMessage::Ask { seq, organisation, entrusted })
     }
 }
--- a/crates/fleet/src/allowances/owner.rs
+++ b/crates/fleet/src/allowances/owner.rs
@@ -8,7 +8,7 @@
 
 /// An answer is remembered for this long, so that a repeated ask does not take a second request
 /// from the bucket.
-const REMEMBER_ANSWER: Duration = Duration::from_secs(1);
+const ANSWER_MEMORY: Duration = Duration::from_secs(1);
 
 /// Start phase of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,8 +72,8 @@
 
     fn forget(&mut self, now: Time) {
         if now >= self.next_forget {
-            self.next_forget = now + REMEMBER_ANSWER;
-            self.answered.retain(|_, (_, at)| now.since(*at) < REMEMBER_ANSWER);
+            self.next_forget = now + ANSWER_MEMORY;
+            self.answered.retain(|_, (_, at)| now.since(*at) < ANSWER_MEMORY);
         }
     }
 }
--- a/crates/fleet/src/tests/allowances.rs
+++ b/crates/fleet/src/tests/allowances.rs
@@ -64,15 +64,15 @@
 /// After two silent owners the node's own share decides; a refusal then does not prove that the
 /// allowance is used up.
 #[test]
-fn a_node_that_reaches_no_owner_has_its_own_share() {
+fn a_node_that_reaches_no_owner_uses_its_own_share() {
     let mut client = client();
     let (seq, _) = client.ask(ms(0), ORGANISATION, &owners());
-    let mut left = owners();
+    let mut remaining = owners();
     let here = (1..20).find_map(|i| {
-        let actions = client.tick(ms(i * 40), &left);
+        let actions = client.tick(ms(i * 40), &remaining);
         for it in &actions {
             if let AllowanceAction::PassOver(node) = it {
-                left.retain(|it| it != node);
+                remaining.retain(|it| it != node);
             }
         }
         actions.into_iter().find(|it| matches!(it, AllowanceAction::AskHere { .. }))
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn nobody_is_asked_while_asking_is_in_vain() {
+fn no_owner_is_asked_while_the_bucket_is_exhausted() {
     let mut client = client();
     let owner = owner_of(ORGANISATION, &owners()).unwrap();
     let (seq, _) = client.ask(ms(0), ORGANISATION, &owners());
@@ -108,22 +108,26 @@
 }
 
 #[test]
-fn owners_hear_from_a_node_that_asks_for_nothing() {
+fn owners_receive_delegations_of_a_node_without_asks() {
     let mut client = client();
-    let told = |actions: Vec<AllowanceAction>| {
-        let is_told = |it: &AllowanceAction| {
+    let delegations = |actions: Vec<AllowanceAction>| {
+        let is_delegation = |it: &AllowanceAction| {
             matches!(it, AllowanceAction::Send(_, AllowanceMessage::Entrust(_)))
         };
-        actions.iter().filter(|it| is_told(it)).count()
+        actions.iter().filter(|it| is_delegation(it)).count()
     };
-    assert_eq!(told(client.tick(ms(0), &owners())), 3);
-    assert_eq!(told(client.tick(ms(400), &owners())), 0);
+    assert_eq!(delegations(client.tick(ms(0), &owners())), 3);
+    assert_eq!(delegations(client.tick(ms(400), &owners())), 0);
     client.ask(ms(450), ORGANISATION, &owners());
-    assert_eq!(told(client.tick(ms(500), &owners())), 2, "one was asked a moment ago");
+    assert_eq!(
+        delegations(client.tick(ms(500), &owners())),
+        2,
+        "the ask has just delegated to the third owner"
+    );
 }
 
 #[test]
-fn an_ask_that_is_said_again_takes_one_request() {
+fn a_repeated_ask_takes_one_request() {
     let mut owner = AllowanceOwner::new(ME);
     owner.buckets.set_nodes(ms(0), 1);
     let bucket = (ORGANISATION, Some(ALLOWANCE));
@@ -143,7 +147,7 @@
 }
 
 #[test]
-fn what_is_not_known_to_be_limited_is_granted() {
+fn an_organisation_without_a_known_limit_is_granted_everything() {
     let mut owner = AllowanceOwner::new(ME);
     let decision = owner.ask(
         ms(0),
