--- a/crates/fleet/src/fetch.rs
+++ b/crates/fleet/src/fetch.rs
@@ -22,12 +22,12 @@
 /// Largest request in bytes.
 const MAX_REQUEST_BYTES: usize = 1024;
 /// Time limit of one fetch.
-const LIMIT: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// A peer that sends nothing for this long is given up. A peer answers at once, at least that it is
 /// busy.
-const SILENCE: Duration = Duration::from_millis(400);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of concurrent connections; the backlog decides how many of them get an answer.
-const MAX_SERVED: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 
 /// Answer of the peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -42,16 +42,18 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
     /// The connection failed.
-    #[error("the peer cannot be reached ({0}): check that TCP between VMs passes")]
+    #[error(
+        "the peer cannot be reached ({0}): check that TCP connections between the VMs are allowed"
+    )]
     Io(#[from] io::Error),
     /// The peer stopped sending.
-    #[error("the peer fell silent: another one will be asked")]
+    #[error("the peer stopped sending: another peer will be asked")]
     Timeout,
     /// The link of the peer is busy with answers to others.
-    #[error("the peer is busy serving others: the platform is read instead")]
+    #[error("the peer is busy serving other nodes: the platform is read instead")]
     Busy,
     /// The answer is not signed with the fleet's key or cannot be decoded.
-    #[error("the peer's answer cannot be trusted: check that all nodes hold the same key")]
+    #[error("the peer's answer is unsigned or malformed: check that all nodes use the same key")]
     Untrusted,
 }
 
@@ -104,7 +106,8 @@
 /// Fetches what the peer at `addr` knows beyond the copy of `asker`, the local node.
 pub async fn fetch(addr: SocketAddr, keys: &Keys, asker: NodeInfo) -> Result<Fetched, FetchError> {
     let exchange = async {
-        let mut stream = in_time(async { Ok(TcpStream::connect(addr).await?) }).await?;
+        let mut stream =
+            with_silence_timeout(async { Ok(TcpStream::connect(addr).await?) }).await?;
         write(&mut stream, keys, &encode(&asker)?).await?;
         let (answer, bytes) = read(&mut stream, keys, MAX_MESSAGE_BYTES).await?;
         match answer {
@@ -112,7 +115,7 @@
             FetchAnswer::Busy => Err(FetchError::Busy),
         }
     };
-    timeout(LIMIT, exchange).await.map_err(|_| FetchError::Timeout)?
+    timeout(FETCH_TIMEOUT, exchange).await.map_err(|_| FetchError::Timeout)?
 }
 
 /// Serves fetches until its task is dropped, as many as `backlog` admits. `bundle` returns what is
@@ -126,28 +129,28 @@
 ) where
     Fut: Future<Output = Bundle> + Send,
 {
-    let permits = Arc::new(Semaphore::new(MAX_SERVED));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, peer)) = listener.accept().await else { continue };
         let (keys, backlog) = (keys.clone(), backlog.clone());
         let (bundle, served) = (bundle.clone(), served.clone());
         tokio::spawn(async move {
-            let since = Instant::now();
+            let start = Instant::now();
             // The asking node notices a failed fetch and asks another peer.
-            let ended = timeout(LIMIT, answer(stream, &keys, &backlog, bundle)).await;
-            let (ending, bytes) = match ended {
+            let result = timeout(FETCH_TIMEOUT, serve(stream, &keys, &backlog, bundle)).await;
+            let (ending, bytes) = match result {
                 Ok(Ok(it)) => it,
                 _ => (ServedEnding::Broken, 0),
             };
-            let (took, under_way) = (since.elapsed(), backlog.under_way());
+            let (took, under_way) = (start.elapsed(), backlog.under_way());
             served(ServedFetch { peer, bytes, ending, under_way, took });
             drop(permit);
         });
     }
 }
 
-async fn answer<Fut: Future<Output = Bundle>>(
+async fn serve<Fut: Future<Output = Bundle>>(
     mut stream: TcpStream,
     keys: &Keys,
     backlog: &Arc<Backlog>,
@@ -183,21 +186,23 @@
     keys: &Keys,
     max: usize,
 ) -> Result<(T, usize), FetchError> {
-    let n = in_time(async { Ok(stream.read_u32().await?) }).await? as usize;
+    let n = with_silence_timeout(async { Ok(stream.read_u32().await?) }).await? as usize;
     if n <= TAG_BYTES || n > max {
         return Err(FetchError::Untrusted);
     }
     // The buffer grows with the received bytes, so a forged length reserves no memory.
     let mut buf = Vec::new();
-    let mut rest = stream.take(n as u64);
-    while in_time(async { Ok(rest.read_buf(&mut buf).await?) }).await? > 0 {}
-    if buf.len() != n || !keys.accept(&buf[..TAG_BYTES], &buf[TAG_BYTES..]) {
+    let mut remaining = stream.take(n as u64);
+    while with_silence_timeout(async { Ok(remaining.read_buf(&mut buf).await?) }).await? > 0 {}
+    if buf.len() != n || !keys.verify(&buf[..TAG_BYTES], &buf[TAG_BYTES..]) {
         return Err(FetchError::Untrusted);
     }
     let message = postcard::from_bytes(&buf[TAG_BYTES..]).map_err(|_| FetchError::Untrusted)?;
     Ok((message, n))
 }
 
-async fn in_time<T>(step: impl Future<Output = Result<T, FetchError>>) -> Result<T, FetchError> {
-    timeout(SILENCE, step).await.map_err(|_| FetchError::Timeout)?
+async fn with_silence_timeout<T>(
+    operation: impl Future<Output = Result<T, FetchError>>,
+) -> Result<T, FetchError> {
+    timeout(SILENCE_TIMEOUT, operation).await.map_err(|_| FetchError::Timeout)?
 }
--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -63,12 +63,13 @@
         rejections: vec![rejection; rejections],
         wants_reply: true,
     };
-    let buf = frame(Message::Gossip(gossip)).encode(&keys("k")).expect("it fits");
+    let buf =
+        frame(Message::Gossip(gossip)).encode(&keys("k")).expect("the frame fits into a datagram");
     assert!(buf.len() <= MAX_FRAME_BYTES, "{}", buf.len());
 }
 
 /// An update with the maximum number of changes, each of the greatest length expected in use.
-fn longest_news() -> News {
+fn longest_update() -> News {
     let endpoint = Endpoint {
         id: "i-0123456789abcdef0123".into(),
         addr: longest_info().addr,
@@ -92,9 +93,11 @@
 }
 
 #[test]
-fn the_longest_news_and_the_longest_ask_fit_a_datagram() {
-    let news = frame(Message::News(longest_news())).encode(&keys("k")).expect("it fits");
-    assert!(news.len() <= MAX_FRAME_BYTES, "{}", news.len());
+fn the_longest_update_and_the_longest_ask_fit_a_datagram() {
+    let update = frame(Message::News(longest_update()))
+        .encode(&keys("k"))
+        .expect("the frame fits into a datagram");
+    assert!(update.len() <= MAX_FRAME_BYTES, "{}", update.len());
     let reporter = Reporter { node: NodeId(u64::MAX), failure_domain: u64::MAX };
     let ask = Ask {
         id: PermitId { node: NodeId(u64::MAX), seq: u64::MAX },
@@ -118,11 +121,11 @@
         wait: true,
     };
     let ask = PermitMessage::Ask { service: u64::MAX, ask };
-    frame(Message::Permit(ask)).encode(&keys("k")).expect("it fits");
+    frame(Message::Permit(ask)).encode(&keys("k")).expect("the frame fits into a datagram");
 }
 
 #[test]
-fn messages_survive_the_way() {
+fn messages_round_trip() {
     let id = PermitId { node: NodeId(1), seq: 2 };
     let grant = Grant {
         endpoint: "i-7f3a91c2".into(),
@@ -150,10 +153,10 @@
             messages: vec![(4, PermitMessage::Release { id, outcome: None })],
         }),
         Message::Ack(Ack { stream: 7, numbers: vec![4, 5] }),
-        Message::News(longest_news()),
+        Message::News(longest_update()),
     ];
     for it in messages {
-        let buf = frame(it.clone()).encode(&keys("k")).expect("it fits");
+        let buf = frame(it.clone()).encode(&keys("k")).expect("the frame fits into a datagram");
         assert_eq!(Frame::decode(&buf, &keys("k")), Ok(frame(it)));
     }
 }
@@ -185,14 +188,14 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_survived(buf in prop::collection::vec(any::<u8>(), 0..1_400)) {
+    fn arbitrary_bytes_do_not_panic(buf in prop::collection::vec(any::<u8>(), 0..1_400)) {
         let _ = Frame::decode(&buf, &keys("k"));
     }
 
     /// The body is decoded only after its signature was verified; this test signs with the valid
     /// key.
     #[test]
-    fn any_signed_bytes_are_survived(body in prop::collection::vec(any::<u8>(), 1..1_100)) {
+    fn arbitrary_signed_bytes_do_not_panic(body in prop::collection::vec(any::<u8>(), 1..1_100)) {
         let keys = keys("k");
         let mut buf = vec![VERSION];
         buf.extend(keys.sign(&body));
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -67,7 +67,7 @@
         tag
     }
 
-    pub(crate) fn accept(&self, tag: &[u8], body: &[u8]) -> bool {
+    pub(crate) fn verify(&self, tag: &[u8], body: &[u8]) -> bool {
         let is_signed_by =
             |key: &Key| equal_in_constant_time(&key.tag(body).as_bytes()[..TAG_BYTES], tag);
         is_signed_by(&self.current) || self.also.as_ref().is_some_and(is_signed_by)
@@ -329,13 +329,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
     /// The frame is shorter than a header or longer than a datagram may be.
-    #[error("a frame of {0} bytes was dropped: it is not one of ours")]
+    #[error("a frame of {0} bytes was dropped: no valid frame has this length")]
     Length(usize),
     /// The frame has another protocol version.
     #[error("a frame of version {0} was dropped: upgrade the older node")]
     Version(u8),
     /// The keyed hash does not match.
-    #[error("a forged or foreign frame was dropped: check that all nodes hold the same key")]
+    #[error("a frame with an invalid signature was dropped: check that all nodes use the same key")]
     Forged,
     /// The body cannot be decoded.
     #[error("a malformed frame was dropped: upgrade the older node")]
@@ -365,7 +365,7 @@
             return Err(WireError::Version(buf[0]));
         }
         let (tag, body) = buf[1..].split_at(TAG_BYTES);
-        if !keys.accept(tag, body) {
+        if !keys.verify(tag, body) {
             return Err(WireError::Forged);
         }
         postcard::from_bytes(body).map_err(|_| WireError::Malformed)
