--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -300,7 +300,7 @@
                 self.deliver_all(now);
             }
             self.receive_frames(now);
-            self.outputs.shared.set_fresh(self.exchange.duty().is_fresh(now));
+            self.outputs.shared.set_fresh(self.exchange.reader_election().is_fresh(now));
             self.resend(now);
             if now.since(self.last_tick) >= self.tick_interval() {
                 self.tick(now);
--- a/crates/dappleway/src/control/metrics.rs
+++ b/crates/dappleway/src/control/metrics.rs
@@ -270,8 +270,8 @@
         it.platform_era.set(facts.registry.era as i64);
         it.registry_revision.set(facts.registry.revision as i64);
         it.config_age.set(now.since(self.in_force_since).as_secs_f64());
-        it.config_behind.set(self.exchange.duty().behind_for(now).as_secs_f64());
-        it.platform_age.set(self.exchange.duty().age(now).as_secs_f64());
+        it.config_behind.set(self.exchange.reader_election().behind_for(now).as_secs_f64());
+        it.platform_age.set(self.exchange.reader_election().age(now).as_secs_f64());
         it.nodes.set(self.exchange.members().len() as i64 + 1);
     }
 }
--- a/crates/dappleway/src/control/publications.rs
+++ b/crates/dappleway/src/control/publications.rs
@@ -104,7 +104,7 @@
     fn put_in_force(&mut self, now: Time, document: &Document, config: Config, origin: Origin) {
         let version = document.version;
         let services = config.services.len();
-        let duty = self.exchange.duty();
+        let duty = self.exchange.reader_election();
         let (behind, proof_age) = (duty.behind_for(now), duty.age(now));
         self.rejected = None;
         self.unreadable = None;
--- a/crates/dappleway/src/control/report.rs
+++ b/crates/dappleway/src/control/report.rs
@@ -21,8 +21,8 @@
             in_force: facts.version,
             registry_era: facts.registry.era,
             registry_revision: facts.registry.revision,
-            reads_platform: self.exchange.duty().reads(now) == Reads::Everything,
-            is_fresh: self.exchange.duty().is_fresh(now),
+            reads_platform: self.exchange.reader_election().reads(now) == Reads::Everything,
+            is_fresh: self.exchange.reader_election().is_fresh(now),
             platform_calls: self.platform_calls,
             left_out: replica.document().map(|it| it.left_out.clone()).unwrap_or_default(),
             rejected: self
--- a/crates/dappleway/src/control/timers.rs
+++ b/crates/dappleway/src/control/timers.rs
@@ -124,7 +124,7 @@
 
     /// Says that a newer configuration is known to exist and could not be had for a while.
     fn log_behind(&self, now: Time) {
-        let duty = self.exchange.duty();
+        let duty = self.exchange.reader_election();
         let behind = duty.behind_for(now);
         if behind < LONG_BEHIND {
             return;
@@ -243,8 +243,8 @@
     }
 
     pub(super) fn set_reads(&self, now: Time) {
-        self.outputs.shared.set_fresh(self.exchange.duty().is_fresh(now));
-        let reads = self.exchange.duty().reads(now);
+        self.outputs.shared.set_fresh(self.exchange.reader_election().is_fresh(now));
+        let reads = self.exchange.reader_election().reads(now);
         let known = self.exchange.replica().facts().registry;
         let others = self.exchange.near();
         self.outputs.wanted.send_if_modified(|it| {
@@ -252,8 +252,8 @@
             *it = Wanted { reads, known, others };
             if is_news {
                 info!(self.log, "duty to read the platform"; "reads" => ?reads,
-                    "why" => self.exchange.duty().why(now), "known" => %known,
-                    "proof_age_ms" => self.exchange.duty().age(now).as_millis() as u64,
+                    "why" => self.exchange.reader_election().why(now), "known" => %known,
+                    "proof_age_ms" => self.exchange.reader_election().age(now).as_millis() as u64,
                     "calls" => self.platform_calls);
             }
             is_news
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -16,7 +16,7 @@
 
 use crate::bundle::EncodedDocument;
 use crate::members::{Member, Members, RECENTLY_JOINED_FOR, node_id};
-use crate::reader_election::{Duty, Rank};
+use crate::reader_election::{Rank, ReaderElection};
 use crate::replica::{Facts, Replica};
 #[cfg(test)]
 use crate::wire::NODES_PER_FRAME;
@@ -90,7 +90,7 @@
     phase: Phase,
     members: Members,
     replica: Replica,
-    duty: Duty,
+    duty: ReaderElection,
     seeds: Vec<SocketAddr>,
     verdicts: FxHashMap<SocketAddr, (Verdict, Time)>,
     rejections: Rejections,
@@ -133,7 +133,7 @@
             phase: Phase::Starting,
             members: Members::default(),
             replica: Replica::default(),
-            duty: Duty::starting(rank, now, rng.random()),
+            duty: ReaderElection::starting(rank, now, rng.random()),
             seeds: seeds.iter().copied().filter(|it| *it != me.addr).collect(),
             verdicts: FxHashMap::default(),
             rejections: Rejections::default(),
@@ -195,7 +195,7 @@
     }
 
     /// The state of the reader election.
-    pub fn duty(&self) -> &Duty {
+    pub fn reader_election(&self) -> &ReaderElection {
         &self.duty
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -29,7 +29,7 @@
 pub use fetch::{FetchError, Fetched, ServedEnding, ServedFetch, fetch, serve_fetches};
 pub use members::{Member, Members, node_id};
 pub use permits::{Action, Client, Contact, Directory, Place, Settlement, Wish};
-pub use reader_election::{Duty, Rank, Reads};
+pub use reader_election::{Rank, ReaderElection, Reads};
 pub use replica::{Facts, Replica};
 pub use wire::{
     Ack, Batch, Capacity, Frame, Gossip, Key, Keys, LastAnswer, MAX_FRAME_BYTES, Message, News,
--- a/crates/fleet/src/reader_election.rs
+++ b/crates/fleet/src/reader_election.rs
@@ -101,7 +101,7 @@
 
 /// The reader election as seen by one node.
 #[derive(Clone, Debug)]
-pub struct Duty {
+pub struct ReaderElection {
     me: Rank,
     /// The reader that this node relies on, and when the platform last answered_at that reader.
     reader: Option<(Rank, Time)>,
@@ -127,7 +127,7 @@
     next_announcement: Time,
 }
 
-impl Duty {
+impl ReaderElection {
     /// The election of a node that has a copy and knows of no other reader.
     pub fn new(me: Rank) -> Self {
         Self {
--- a/crates/fleet/src/tests/reader_election.rs
+++ b/crates/fleet/src/tests/reader_election.rs
@@ -2,7 +2,7 @@
 
 use policy::{NodeId, Time};
 
-use crate::reader_election::{Duty, Missing, Rank, ReaderStatus, Reads};
+use crate::reader_election::{Missing, Rank, ReaderElection, ReaderStatus, Reads};
 
 const FIRST: Rank = Rank { link_mbps: 10, node: NodeId(1) };
 const ME: Rank = Rank { link_mbps: 10, node: NodeId(5) };
@@ -16,12 +16,12 @@
 
 #[test]
 fn a_node_without_a_known_reader_reads() {
-    assert_eq!(Duty::new(ME).reads(at(0)), Reads::Everything);
+    assert_eq!(ReaderElection::new(ME).reads(at(0)), Reads::Everything);
 }
 
 #[test]
 fn a_node_relies_on_a_reader_of_better_rank_until_the_reader_falls_silent() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     assert_eq!(election.reads(at(1_200)), Reads::Nothing);
     assert_eq!(election.reads(at(1_201)), Reads::Everything);
@@ -30,7 +30,7 @@
 /// A reader keeps announcing itself for a while after the last answer of the platform.
 #[test]
 fn a_node_takes_over_by_the_age_of_the_last_answer_despite_announcements() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     for ms in [0, 400, 800, 1_200] {
         election.receive_status(at(ms), FIRST, ReaderStatus::Confirmed(at(0)));
     }
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_answer_with_missing_updates_confirms_nothing() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.receive_status(at(100), FIRST, ReaderStatus::Unconfirmed(at(100)));
     assert!(!election.is_fresh(at(100)));
     election.receive_status(at(200), FIRST, ReaderStatus::Confirmed(at(150)));
@@ -60,14 +60,14 @@
 
 #[test]
 fn a_node_continues_to_read_beside_a_reader_of_worse_rank() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.receive_status(at(0), LAST, ReaderStatus::Confirmed(at(0)));
     assert_eq!(election.reads(at(1)), Reads::Everything);
 }
 
 #[test]
 fn a_reader_that_lost_the_platform_is_replaced_at_once() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     election.receive_status(at(100), FIRST, ReaderStatus::NoAnswer);
     assert_eq!(election.reads(at(101)), Reads::Everything);
@@ -78,7 +78,7 @@
 /// answered.
 #[test]
 fn a_node_that_the_platform_refuses_does_not_announce_itself() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.platform_answered(at(0));
     election.confirm(at(0));
     assert!(election.announcement_is_due(at(0)));
@@ -99,7 +99,7 @@
 
 #[test]
 fn updates_that_cannot_be_fetched_from_peers_are_read() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     election.set_missing(at(0), Missing { config: true, registry: false });
     election.receive_status(at(400), FIRST, ReaderStatus::Confirmed(at(400)));
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_copy_becomes_stale_without_freshness_confirmations() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     assert!(!election.is_fresh(at(0)));
     election.platform_answered(at(0));
     election.confirm(at(0));
@@ -126,7 +126,7 @@
 /// instead of waiting.
 #[test]
 fn a_node_that_a_busy_peer_refuses_reads_the_configuration_at_once() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     election.set_missing(at(0), Missing { config: true, registry: false });
     assert_eq!(election.reads(at(10)), Reads::Nothing);
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_node_relies_on_a_reader_with_a_faster_link() {
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     election.receive_status(at(10), FAST_LINK, ReaderStatus::Confirmed(at(10)));
     election.receive_status(at(500), FIRST, ReaderStatus::Confirmed(at(500)));
@@ -154,7 +154,7 @@
         Reads::Everything,
         "the last answer to the node with the faster link is old"
     );
-    let mut fast = Duty::new(FAST_LINK);
+    let mut fast = ReaderElection::new(FAST_LINK);
     fast.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     assert_eq!(fast.reads(at(1)), Reads::Everything);
 }
@@ -164,7 +164,7 @@
 #[test]
 fn starting_nodes_back_off_longer_on_slower_links() {
     let backoff = |link_mbps, spread| {
-        let election = Duty::starting(Rank { link_mbps, node: NodeId(1) }, at(0), spread);
+        let election = ReaderElection::starting(Rank { link_mbps, node: NodeId(1) }, at(0), spread);
         (0..2_000).find(|ms| election.reads(at(*ms)) == Reads::Everything).unwrap()
     };
     let backoffs = [1_000, 200, 20, 1].map(|it| (backoff(it, 0.0), backoff(it, 1.0)));
@@ -173,7 +173,7 @@
 
 #[test]
 fn a_node_that_starts_asks_other_peers_before_it_reads() {
-    let mut election = Duty::starting(ME, at(0), 0.0);
+    let mut election = ReaderElection::starting(ME, at(0), 0.0);
     election.receive_status(at(100), FIRST, ReaderStatus::Confirmed(at(100)));
     election.set_missing(at(100), Missing { config: true, registry: true });
     election.fetch_refused();
@@ -188,13 +188,13 @@
 #[test]
 fn nodes_take_over_by_rank() {
     let takes_over_after = |preceding| {
-        let mut election = Duty::new(ME);
+        let mut election = ReaderElection::new(ME);
         election.set_nodes_before(preceding);
         election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
         (0..2_000).find(|ms| election.reads(at(*ms)) == Reads::Everything).unwrap()
     };
     assert_eq!([0, 1, 3, 100].map(takes_over_after), [1_201, 1_251, 1_351, 1_601]);
-    let mut election = Duty::new(ME);
+    let mut election = ReaderElection::new(ME);
     election.set_nodes_before(2);
     election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     election.receive_status(at(100), FIRST, ReaderStatus::NoAnswer);
@@ -204,7 +204,7 @@
 
 #[test]
 fn a_node_that_got_its_first_copy_from_a_peer_leaves_time_for_announcements() {
-    let mut election = Duty::starting(ME, at(0), 0.0);
+    let mut election = ReaderElection::starting(ME, at(0), 0.0);
     election.record_first_copy(at(300));
     election.set_nodes_before(0);
     assert_eq!(election.reads(at(1_000)), Reads::Nothing);
--- a/crates/fleet/tests/exchange.rs
+++ b/crates/fleet/tests/exchange.rs
@@ -41,8 +41,9 @@
 #[test]
 fn other_nodes_take_over_when_the_readers_cannot_be_reached() {
     let mut net = started(12, 0.0);
-    let readers: Vec<usize> =
-        (0..12).filter(|i| net.nodes[*i].duty().reads(net.now) == Reads::Everything).collect();
+    let readers: Vec<usize> = (0..12)
+        .filter(|i| net.nodes[*i].reader_election().reads(net.now) == Reads::Everything)
+        .collect();
     for i in &readers {
         net.cut.extend((0..12).map(|j| (*i, j)));
     }
@@ -88,7 +89,7 @@
     let mut net = started(5, 0.0);
     net.cut = (0..5).map(|i| (i, 3)).collect();
     net.run_with_platform(Duration::from_secs(3), 2);
-    assert_eq!(net.nodes[3].duty().reads(net.now), Reads::Everything);
+    assert_eq!(net.nodes[3].reader_election().reads(net.now), Reads::Everything);
     assert_eq!(net.in_force()[3], 2);
 }
 
@@ -254,7 +255,7 @@
     let frame = reader.frame(Message::News(update));
     let effects = later.receive(now, addr(0), frame, &mut StdRng::seed_from_u64(2));
     let fetches = effects.iter().any(|it| matches!(it, Effect::Fetch(_)));
-    (fetches, later.duty().is_fresh(now))
+    (fetches, later.reader_election().is_fresh(now))
 }
 
 /// A node that has read a later era ignores announcements of an earlier era, however high their
--- a/crates/fleet/tests/waits.rs
+++ b/crates/fleet/tests/waits.rs
@@ -23,7 +23,7 @@
 }
 
 fn readers(net: &Net) -> Vec<usize> {
-    let reads = |i: &usize| net.nodes[*i].duty().reads(net.now) == Reads::Everything;
+    let reads = |i: &usize| net.nodes[*i].reader_election().reads(net.now) == Reads::Everything;
     (0..net.nodes.len()).filter(reads).collect()
 }
 
@@ -74,7 +74,7 @@
     net.cut = (0..12).flat_map(|i| (0..12).map(move |j| (i, j))).collect();
     net.cut.retain(|(from, _)| !silent.contains(from));
     let fresh = |net: &Net, start: Time| {
-        let last = net.nodes.iter().filter(|it| it.duty().is_fresh(net.now)).count();
+        let last = net.nodes.iter().filter(|it| it.reader_election().is_fresh(net.now)).count();
         assert!(
             last == 0 || net.now.since(start) < IN_FORCE,
             "{last} nodes consider their copy fresh"
@@ -97,6 +97,6 @@
     for _ in 0..8 {
         net.run(STEP);
         assert_eq!(net.in_force()[behind], 1);
-        assert!(!net.nodes[behind].duty().is_fresh(net.now));
+        assert!(!net.nodes[behind].reader_election().is_fresh(net.now));
     }
 }
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -197,7 +197,7 @@
                 }
             }
         }
-        let reads = self.nodes[i].duty().reads(self.now);
+        let reads = self.nodes[i].reader_election().reads(self.now);
         if reads == Reads::Nothing {
             self.platform.counted.remove(&i);
             return;
@@ -268,7 +268,7 @@
         while self.now < end {
             self.run(TURN * 10);
             for i in 0..self.nodes.len() {
-                if self.nodes[i].duty().reads(self.now) == Reads::Everything {
+                if self.nodes[i].reader_election().reads(self.now) == Reads::Everything {
                     self.read(i, version);
                 }
             }
@@ -308,7 +308,7 @@
 
     /// Nodes whose duty it is to read the platform.
     pub fn readers(&self) -> usize {
-        let reads = |it: &&Exchange| it.duty().reads(self.now) == Reads::Everything;
+        let reads = |it: &&Exchange| it.reader_election().reads(self.now) == Reads::Everything;
         self.nodes.iter().filter(reads).count()
     }
 
