--- a/crates/dappleway/src/control/exchange.rs
+++ b/crates/dappleway/src/control/exchange.rs
@@ -42,7 +42,7 @@
                 return;
             }
             Message::Gossip(_) => self.exchange.spend(n),
-            Message::News(_) => {}
+            Message::PlatformUpdate(_) => {}
         }
         let effects = self.exchange.receive(now, from, frame, &mut self.rng);
         self.apply(now, effects);
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -258,7 +258,7 @@
                 effects.extend(reply.map(|it| Effect::Send(from, Message::Gossip(it))));
                 effects
             }
-            Message::News(update) => self.receive_update(now, from, frame.from, update),
+            Message::PlatformUpdate(update) => self.receive_update(now, from, frame.from, update),
             Message::Permit(_) | Message::Reliable(_) | Message::Ack(_) | Message::Allowance(_) => {
                 Vec::new()
             }
--- a/crates/fleet/src/exchange/updates.rs
+++ b/crates/fleet/src/exchange/updates.rs
@@ -12,7 +12,7 @@
 use crate::bundle::{Bundle, EncodedDocument};
 use crate::reader_election::{Missing, Rank, ReaderStatus, Reads};
 use crate::replica::Facts;
-use crate::wire::{LastAnswer, Message, News, NodeInfo};
+use crate::wire::{LastAnswer, Message, NodeInfo, PlatformUpdate};
 
 /// Registry changes in one frame.
 pub(crate) const CHANGES_PER_FRAME: usize = 6;
@@ -64,7 +64,7 @@
         if !self.duty.platform_failed() {
             return Vec::new();
         }
-        self.send_to_own_domain(Message::News(self.empty_update(LastAnswer::Lost)))
+        self.send_to_own_domain(Message::PlatformUpdate(self.empty_update(LastAnswer::Lost)))
     }
 
     /// Records that this node has read the configuration alone and put it in force if it is newer.
@@ -128,7 +128,7 @@
         now: Time,
         addr: SocketAddr,
         from: NodeId,
-        update: News,
+        update: PlatformUpdate,
     ) -> Vec<Effect> {
         let mut effects = self.record_nodes(now, vec![update.sender]);
         // A reader that has not yet noticed that the platform came back from an older copy confirms
@@ -198,8 +198,8 @@
             changes.clear();
         }
         if changes.is_empty() {
-            let update = News { facts: newest, after, ..empty };
-            return self.send_to_own_domain(Message::News(update));
+            let update = PlatformUpdate { facts: newest, after, ..empty };
+            return self.send_to_own_domain(Message::PlatformUpdate(update));
         }
         let mut effects = Vec::new();
         let mut after = after;
@@ -209,8 +209,8 @@
             let reached = chunk.last().map_or(after, |it| it.at);
             let registry = if is_last { newest.registry } else { reached };
             let facts = Facts { registry, ..newest };
-            let update = News { facts, after, changes: chunk.to_vec(), ..empty.clone() };
-            effects.extend(self.send_to_own_domain(Message::News(update)));
+            let update = PlatformUpdate { facts, after, changes: chunk.to_vec(), ..empty.clone() };
+            effects.extend(self.send_to_own_domain(Message::PlatformUpdate(update)));
             after = registry;
         }
         effects
@@ -226,9 +226,15 @@
     }
 
     /// An update without changes.
-    fn empty_update(&self, last_answer: LastAnswer) -> News {
+    fn empty_update(&self, last_answer: LastAnswer) -> PlatformUpdate {
         let facts = self.replica.facts();
-        News { sender: self.info(), facts, after: facts.registry, changes: Vec::new(), last_answer }
+        PlatformUpdate {
+            sender: self.info(),
+            facts,
+            after: facts.registry,
+            changes: Vec::new(),
+            last_answer,
+        }
     }
 
     /// Records the state of nodes. If this node is the reader, it announces itself to newly
@@ -242,7 +248,9 @@
         let own = self.me.failure_domain;
         let recipients = nodes.iter().filter(|it| it.failure_domain == own);
         let update = self.empty_update(self.last_answer(now));
-        recipients.map(|it| Effect::Send(it.addr, Message::News(update.clone()))).collect()
+        recipients
+            .map(|it| Effect::Send(it.addr, Message::PlatformUpdate(update.clone())))
+            .collect()
     }
 
     pub(super) fn send_to_own_domain(&self, message: Message) -> Vec<Effect> {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -32,8 +32,8 @@
 pub use reader_election::{Rank, ReaderElection, Reads};
 pub use replica::{Facts, Replica};
 pub use wire::{
-    Ack, Batch, Capacity, Frame, Gossip, Key, Keys, LastAnswer, MAX_FRAME_BYTES, Message, News,
-    NodeInfo, PermitMessage, Phase, Verdict, WireError,
+    Ack, Batch, Capacity, Frame, Gossip, Key, Keys, LastAnswer, MAX_FRAME_BYTES, Message, NodeInfo,
+    PermitMessage, Phase, PlatformUpdate, Verdict, WireError,
 };
 
 #[cfg(test)]
--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -11,8 +11,8 @@
 use crate::exchange::{CHANGES_PER_FRAME, MAX_GOSSIP};
 use crate::replica::Facts;
 use crate::wire::{
-    Ack, Batch, Capacity, Frame, Gossip, Key, Keys, LastAnswer, MAX_FRAME_BYTES, Message, News,
-    NodeInfo, PermitMessage, Phase, VERSION, Verdict, WireError,
+    Ack, Batch, Capacity, Frame, Gossip, Key, Keys, LastAnswer, MAX_FRAME_BYTES, Message, NodeInfo,
+    PermitMessage, Phase, PlatformUpdate, VERSION, Verdict, WireError,
 };
 
 /// A rate limit of the greatest encoded length.
@@ -69,7 +69,7 @@
 }
 
 /// An update with the maximum number of changes, each of the greatest length expected in use.
-fn longest_update() -> News {
+fn longest_update() -> PlatformUpdate {
     let endpoint = Endpoint {
         id: "i-0123456789abcdef0123".into(),
         addr: longest_info().addr,
@@ -83,7 +83,7 @@
     let entry =
         Some(Registration { service: "a-service-with-a-long-name".into(), endpoint }.into());
     let change = RegistryChange { id, at: LAST, entry };
-    News {
+    PlatformUpdate {
         sender: longest_info(),
         facts: longest_info().facts,
         after: LAST,
@@ -94,7 +94,7 @@
 
 #[test]
 fn the_longest_update_and_the_longest_ask_fit_a_datagram() {
-    let update = frame(Message::News(longest_update()))
+    let update = frame(Message::PlatformUpdate(longest_update()))
         .encode(&keys("k"))
         .expect("the frame fits into a datagram");
     assert!(update.len() <= MAX_FRAME_BYTES, "{}", update.len());
@@ -153,7 +153,7 @@
             messages: vec![(4, PermitMessage::Release { id, outcome: None })],
         }),
         Message::Ack(Ack { stream: 7, numbers: vec![4, 5] }),
-        Message::News(longest_update()),
+        Message::PlatformUpdate(longest_update()),
     ];
     for it in messages {
         let buf = frame(it.clone()).encode(&keys("k")).expect("the frame fits into a datagram");
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -139,7 +139,7 @@
 
 /// Announcement of a reader: what it has read from the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct PlatformUpdate {
     /// The sender, which may still be unknown to some receivers.
     pub sender: NodeInfo,
     /// Versions that a copy reaches with these changes and all changes before them.
@@ -297,7 +297,7 @@
     /// One gossip round or the reply to it.
     Gossip(Gossip),
     /// Announcement of a reader to its failure domain.
-    News(News),
+    PlatformUpdate(PlatformUpdate),
     /// Message about slots, sent once.
     Permit(PermitMessage),
     /// Messages about slots, sent until they are acknowledged.
--- a/crates/fleet/tests/exchange.rs
+++ b/crates/fleet/tests/exchange.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use fleet::{
-    Capacity, Effect, Exchange, Gossip, Identity, LastAnswer, Message, News, Phase, Reads, Verdict,
-    node_id,
+    Capacity, Effect, Exchange, Gossip, Identity, LastAnswer, Message, Phase, PlatformUpdate,
+    Reads, Verdict, node_id,
 };
 use policy::{Rejection, RequestKey, Time};
 use rand::SeedableRng;
@@ -190,7 +190,7 @@
     let (mut reader, unknown_node) = (node(0, 200), node(1, 20));
     let now = Time(0) + Duration::from_secs(2);
     reader.read(now, Published { latest: READ, complete_to: READ, ..Published::default() });
-    let update = News {
+    let update = PlatformUpdate {
         sender: unknown_node.info(),
         facts: unknown_node.info().facts,
         after: Position::START,
@@ -200,11 +200,11 @@
     let mut announcements = |message| {
         let frame = unknown_node.frame(message);
         let effects = reader.receive(now, addr(1), frame, &mut StdRng::seed_from_u64(2));
-        let is_announcement = |it: &Effect| matches!(it, Effect::Send(_, Message::News(it)) if it.last_answer != LastAnswer::Lost);
+        let is_announcement = |it: &Effect| matches!(it, Effect::Send(_, Message::PlatformUpdate(it)) if it.last_answer != LastAnswer::Lost);
         effects.iter().filter(|it| is_announcement(it)).count()
     };
-    assert_eq!(announcements(Message::News(update.clone())), 1);
-    assert_eq!(announcements(Message::News(update)), 0, "the sender is known now");
+    assert_eq!(announcements(Message::PlatformUpdate(update.clone())), 1);
+    assert_eq!(announcements(Message::PlatformUpdate(update)), 0, "the sender is known now");
 }
 
 #[test]
@@ -245,14 +245,14 @@
     let (reader, mut later) = reader_and_later(era);
     let now = Time(0) + Duration::from_secs(5);
     let facts = reader.info().facts;
-    let update = News {
+    let update = PlatformUpdate {
         sender: reader.info(),
         facts,
         after: facts.registry,
         changes: Vec::new(),
         last_answer: LastAnswer::Read { age_ms: 0 },
     };
-    let frame = reader.frame(Message::News(update));
+    let frame = reader.frame(Message::PlatformUpdate(update));
     let effects = later.receive(now, addr(0), frame, &mut StdRng::seed_from_u64(2));
     let fetches = effects.iter().any(|it| matches!(it, Effect::Fetch(_)));
     (fetches, later.reader_election().is_fresh(now))
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -540,7 +540,7 @@
             Message::Ack(ack) => {
                 self.nodes[to].delivery.acknowledged(sender, &ack);
             }
-            Message::Gossip(_) | Message::News(_) | Message::Allowance(_) => {}
+            Message::Gossip(_) | Message::PlatformUpdate(_) | Message::Allowance(_) => {}
         }
     }
 
