--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -24,7 +24,7 @@
 
 use caller::{Refused, Shared};
 use clock::Moment;
-use fleet::{Client, Delivery, Directory, Edge, Exchange, Keys, Phase, Place};
+use fleet::{Client, Delivery, Directory, Exchange, Keys, Phase, Place, Transport};
 use operator::Published as InForce;
 use policy::{
     BudgetLimits, Grant, NodeId, PermitId, Reporter, RequestKey, Settled, Time, Topology,
@@ -101,7 +101,7 @@
     failure_domain: String,
     mode: Mode,
     exchange: Exchange,
-    edge: Edge,
+    edge: Transport,
     keys: Keys,
     client: Client,
     /// Messages about slots to and from other nodes that are to arrive.
@@ -199,7 +199,7 @@
     /// The exchange.
     pub exchange: Exchange,
     /// Its socket.
-    pub edge: Edge,
+    pub edge: Transport,
     /// The fleet's keys.
     pub keys: Keys,
     /// The asking side of dispatch.
--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -5,7 +5,8 @@
 
 use caller::Shared;
 use fleet::{
-    Capacity, Client, Edge, Exchange, Frame, Gossip, Identity, Key, Keys, Message, NodeInfo, Phase,
+    Capacity, Client, Exchange, Frame, Gossip, Identity, Key, Keys, Message, NodeInfo, Phase,
+    Transport,
 };
 use policy::{BudgetLimits, NodeId, Notice, Precedence, RateLimit, Time};
 use prometheus::Registry;
@@ -63,7 +64,7 @@
 
 async fn control(urgent: mpsc::UnboundedSender<Event>) -> Control {
     let keys = Keys { current: Key::new(b"k"), also: None };
-    let edge = Edge::bind(([127, 0, 0, 1], 0).into(), keys.clone()).await.unwrap();
+    let edge = Transport::bind(([127, 0, 0, 1], 0).into(), keys.clone()).await.unwrap();
     let addr: SocketAddr = edge.addr().unwrap();
     let me = Identity { addr, failure_domain: 1, incarnation: 1, capacity: Default::default() };
     let exchange = Exchange::new(Time(0), me, &[], &mut StdRng::seed_from_u64(1));
--- a/crates/dappleway/src/node.rs
+++ b/crates/dappleway/src/node.rs
@@ -8,7 +8,8 @@
 use caller::{Dispatch, Limits, ListenerBuilder, Metrics, Shared};
 use clock::Moment;
 use fleet::{
-    Backlog, Bundle, Client, Edge, Exchange, Identity, Keys, NodeInfo, ServedFetch, serve_fetches,
+    Backlog, Bundle, Client, Exchange, Identity, Keys, NodeInfo, ServedFetch, Transport,
+    serve_fetches,
 };
 use operator::{Access, Cut, Token, View};
 use platform::{ServiceDefaults, Store, header_names};
@@ -161,7 +162,7 @@
     let clock = Moment::now();
     let seeds = settings.fleet.seed_addrs();
     let exchange = Exchange::new(policy::Time(0), identity, &seeds, &mut rng);
-    let edge = Edge::bind(addr, keys.clone())
+    let edge = Transport::bind(addr, keys.clone())
         .await
         .with_context(|| format!("UDP {addr}: choose a free `node.addr`"))?;
     let fetches = TcpListener::bind(addr)
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,20 +1,20 @@
 //! The other entry VMs of the fleet: their identities, the versions that they hold, and the
 //! exchange with them.
 //!
-//! The state machines are free of I/O; `edge` and `fetch` are the thin socket layers. This crate
+//! The state machines are free of I/O; `transport` and `fetch` are the thin socket layers. This crate
 //! must not depend on HTTP, on requests of callers, or on the meaning of a configuration.
 
 mod allowances;
 mod backlog;
 mod bundle;
 mod delivery;
-mod edge;
 mod exchange;
 mod fetch;
 mod members;
 mod permits;
 mod reader_election;
 mod replica;
+mod transport;
 mod wire;
 
 pub use allowances::{
@@ -24,13 +24,13 @@
 pub use backlog::{Admitted, Backlog};
 pub use bundle::{Bundle, EncodedDocument, RegistryCopy};
 pub use delivery::{Delivery, MessageTooLong};
-pub use edge::{Counts, Edge};
 pub use exchange::{Effect, Exchange, FetchFailure, Identity, ROUND};
 pub use fetch::{FetchError, Fetched, ServedEnding, ServedFetch, fetch, serve_fetches};
 pub use members::{Member, Members, node_id};
 pub use permits::{Action, Client, Contact, Directory, Place, Settlement, Wish};
 pub use reader_election::{Rank, ReaderElection, Reads};
 pub use replica::{Replica, Versions};
+pub use transport::{Counts, Transport};
 pub use wire::{
     Ack, Batch, Capacity, Frame, Gossip, Key, Keys, LastAnswer, MAX_FRAME_BYTES, Message, NodeInfo,
     PermitMessage, Phase, PlatformUpdate, Verdict, WireError,
--- a/crates/fleet/src/edge.rs
+++ b/crates/fleet/src/transport.rs
@@ -27,7 +27,7 @@
 
 /// A socket for frames.
 #[derive(Debug)]
-pub struct Edge {
+pub struct Transport {
     socket: UdpSocket,
     keys: Keys,
     counts: Counts,
@@ -35,7 +35,7 @@
     cut: Vec<SocketAddr>,
 }
 
-impl Edge {
+impl Transport {
     /// Binds the socket.
     pub async fn bind(addr: SocketAddr, keys: Keys) -> io::Result<Self> {
         let socket = UdpSocket::bind(addr).await?;
