--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use caller::{Refused, Want, Why};
-use fleet::{Action, Directory, PermitMessage, Place, Settlement, Wish};
+use fleet::{Action, Directory, PermitMessage, PermitRequest, Place, Settlement};
 use policy::{
     Ask, Grant, Kind, NodeId, Notice, Observation, PermitId, Places, Reply, Settled, Time,
 };
@@ -79,9 +79,9 @@
             self.ask_here(now, Place::Direct, service, ask);
             return;
         }
-        let wish = Wish { ask, service, deadline: now + want.left };
+        let wish = PermitRequest { ask, service, deadline: now + want.left };
         let directory = Nodes::new(now, self.me, &self.topology, &self.exchange);
-        let action = self.client.wish(now, wish, &directory);
+        let action = self.client.request(now, wish, &directory);
         self.act(now, action);
     }
 
--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -41,7 +41,7 @@
 
 /// A request for a slot.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct PermitRequest {
     /// The ask to send.
     pub ask: Ask,
     /// Hash of the service's name.
@@ -74,7 +74,7 @@
 
 #[derive(Clone, Debug)]
 struct Pending {
-    request: Wish,
+    request: PermitRequest,
     place: Place,
     asked_at: Time,
     is_queued: bool,
@@ -149,7 +149,12 @@
     }
 
     /// Starts a permit request.
-    pub fn wish(&mut self, now: Time, request: Wish, directory: &impl Directory) -> Action {
+    pub fn request(
+        &mut self,
+        now: Time,
+        request: PermitRequest,
+        directory: &impl Directory,
+    ) -> Action {
         let id = request.ask.id;
         let pending = Pending {
             request,
--- a/crates/fleet/src/tests/permits.rs
+++ b/crates/fleet/src/tests/permits.rs
@@ -3,7 +3,7 @@
 use policy::{Ask, Grant, NodeId, PermitId, Reply, Reporter, RequestKey, SendKind, Tier, Time};
 use resources::Priority;
 
-use crate::permits::{Action, Client, Contact, Directory, Place, Settlement, Wish};
+use crate::permits::{Action, Client, Contact, Directory, PermitRequest, Place, Settlement};
 use crate::wire::PermitMessage;
 
 const ME: NodeId = NodeId(1);
@@ -18,7 +18,7 @@
     }
 }
 
-fn permit_request() -> Wish {
+fn permit_request() -> PermitRequest {
     let ask = Ask {
         id: PermitId { node: ME, seq: 1 },
         reporter: Reporter { node: ME, failure_domain: 0 },
@@ -40,7 +40,7 @@
         objective: Duration::from_secs(1),
         wait: true,
     };
-    Wish { ask, service: 9, deadline: Time(0) + Duration::from_secs(1) }
+    PermitRequest { ask, service: 9, deadline: Time(0) + Duration::from_secs(1) }
 }
 
 fn grant() -> Grant {
@@ -74,7 +74,7 @@
 
 fn start(table: &Table) -> (Client, String) {
     let mut client = Client::new(ME, TIMEOUT, Duration::from_secs(10));
-    let action = client.wish(Time(0), permit_request(), table);
+    let action = client.request(Time(0), permit_request(), table);
     let first = describe(&action);
     (client, first)
 }
@@ -125,7 +125,7 @@
     let mut client = Client::new(ME, TIMEOUT, Duration::from_secs(10));
     let mut hedge = permit_request();
     hedge.ask.wait = false;
-    client.wish(Time(0), hedge, &table);
+    client.request(Time(0), hedge, &table);
     assert_eq!(reply(&mut client, &table, 2, Reply::Full), "refused");
 }
 
@@ -158,7 +158,7 @@
     // The next request does not wait for the silent nodes again.
     let mut other = permit_request();
     other.ask.id.seq = 2;
-    let action = client.wish(Time(0) + Duration::from_millis(70), other, &table);
+    let action = client.request(Time(0) + Duration::from_millis(70), other, &table);
     assert_eq!(describe(&action), "ask 4");
 }
 
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use fleet::{Action, Client, Delivery, Directory, Message, PermitMessage, Place, Settlement, Wish};
+use fleet::{
+    Action, Client, Delivery, Directory, Message, PermitMessage, PermitRequest, Place, Settlement,
+};
 use policy::{
     Ask, BudgetLimits, Dispatcher, Grant, Kind, NodeId, Notice, PermitId, Precedence, Reply,
     Reporter, RequestKey, SendKind, Time, rank,
@@ -481,9 +483,10 @@
             objective: Duration::from_secs(1),
             wait: true,
         };
-        let request = Wish { ask, service: SERVICE, deadline: self.now() + REQUEST_TIMEOUT };
+        let request =
+            PermitRequest { ask, service: SERVICE, deadline: self.now() + REQUEST_TIMEOUT };
         let now = self.now();
-        let action = self.nodes[i].client.wish(now, request, &self.directory);
+        let action = self.nodes[i].client.request(now, request, &self.directory);
         self.act(i, action);
     }
 
