--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -24,7 +24,7 @@
 
 use caller::{Refused, Shared};
 use clock::Moment;
-use fleet::{Client, Delivery, Directory, Exchange, Keys, Phase, Place, Transport};
+use fleet::{Delivery, Directory, Exchange, Keys, PermitClient, Phase, Place, Transport};
 use operator::Published as InForce;
 use policy::{
     BudgetLimits, Grant, NodeId, PermitId, Reporter, RequestKey, Settled, Time, Topology,
@@ -103,7 +103,7 @@
     exchange: Exchange,
     edge: Transport,
     keys: Keys,
-    client: Client,
+    client: PermitClient,
     /// Messages about slots to and from other nodes that are to arrive.
     delivery: Delivery,
     allowances: Allowances,
@@ -203,7 +203,7 @@
     /// The fleet's keys.
     pub keys: Keys,
     /// The asking side of dispatch.
-    pub client: Client,
+    pub client: PermitClient,
     /// An ask to another node that is not answered for this long is lost.
     pub ask_timeout: Duration,
     /// The way of dispatch.
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use caller::{Refused, Want, Why};
-use fleet::{Action, Directory, PermitMessage, PermitRequest, Place, Settlement};
+use fleet::{Directory, PermitAction, PermitMessage, PermitOutcome, PermitRequest, Place};
 use policy::{
     Ask, Grant, Kind, NodeId, Notice, Observation, PermitId, Places, Reply, Settled, Time,
 };
@@ -91,19 +91,19 @@
         Places { evacuated: self.evacuated.clone(), only }.boxed()
     }
 
-    pub(super) fn act(&mut self, now: Time, action: Action) {
+    pub(super) fn act(&mut self, now: Time, action: PermitAction) {
         match action {
-            Action::AskHere(place, service, ask) => self.ask_here(now, place, service, ask),
-            Action::Send(node, message) => self.send_to(now, node, message),
-            Action::Settle(id, Settlement::Granted(grant, place)) => {
+            PermitAction::AskHere(place, service, ask) => self.ask_here(now, place, service, ask),
+            PermitAction::Send(node, message) => self.send_to(now, node, message),
+            PermitAction::Settle(id, PermitOutcome::Granted(grant, place)) => {
                 self.granted(now, id, grant, place);
             }
-            Action::Settle(id, Settlement::Refused(retry_after)) => {
+            PermitAction::Settle(id, PermitOutcome::Refused(retry_after)) => {
                 if let Some(it) = self.waiting.remove(&id) {
                     let _ = it.tx.send(Err(Refused::no_capacity(retry_after)));
                 }
             }
-            Action::Settle(id, Settlement::Rejected(retry_after)) => {
+            PermitAction::Settle(id, PermitOutcome::Rejected(retry_after)) => {
                 if let Some(it) = self.waiting.remove(&id) {
                     let _ = it.tx.send(Err(Refused { retry_after, why: Why::CrashesEndpoints }));
                 }
@@ -119,7 +119,7 @@
         };
         let Some(dispatcher) = dispatcher else {
             // The service has gone since it was asked for.
-            self.act(now, Action::Settle(id, Settlement::Refused(RENEW)));
+            self.act(now, PermitAction::Settle(id, PermitOutcome::Refused(RENEW)));
             return;
         };
         let reply = dispatcher.ask(now, ask, &mut self.rng);
@@ -132,15 +132,15 @@
             match reply {
                 Reply::Granted(grant) => self.granted(now, id, grant, place),
                 Reply::Refused { retry_after } => {
-                    let action = Action::Settle(id, Settlement::Refused(retry_after));
+                    let action = PermitAction::Settle(id, PermitOutcome::Refused(retry_after));
                     self.act(now, action);
                 }
                 Reply::Rejected { retry_after } => {
-                    let action = Action::Settle(id, Settlement::Rejected(retry_after));
+                    let action = PermitAction::Settle(id, PermitOutcome::Rejected(retry_after));
                     self.act(now, action);
                 }
                 Reply::Full => {
-                    self.act(now, Action::Settle(id, Settlement::Refused(RENEW)));
+                    self.act(now, PermitAction::Settle(id, PermitOutcome::Refused(RENEW)));
                 }
                 Reply::Queued => {}
             }
--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -5,7 +5,7 @@
 
 use caller::Shared;
 use fleet::{
-    Capacity, Client, Exchange, Frame, Gossip, Identity, Key, Keys, Message, NodeInfo, Phase,
+    Capacity, Exchange, Frame, Gossip, Identity, Key, Keys, Message, NodeInfo, PermitClient, Phase,
     Transport,
 };
 use policy::{BudgetLimits, NodeId, Notice, Precedence, RateLimit, Time};
@@ -68,7 +68,8 @@
     let addr: SocketAddr = edge.addr().unwrap();
     let me = Identity { addr, failure_domain: 1, incarnation: 1, capacity: Default::default() };
     let exchange = Exchange::new(Time(0), me, &[], &mut StdRng::seed_from_u64(1));
-    let client = Client::new(exchange.id(), Duration::from_millis(40), Duration::from_secs(10));
+    let client =
+        PermitClient::new(exchange.id(), Duration::from_millis(40), Duration::from_secs(10));
     let start = Start {
         exchange,
         edge,
--- a/crates/dappleway/src/node.rs
+++ b/crates/dappleway/src/node.rs
@@ -8,7 +8,7 @@
 use caller::{Dispatch, Limits, ListenerBuilder, Metrics, Shared};
 use clock::Moment;
 use fleet::{
-    Backlog, Bundle, Client, Exchange, Identity, Keys, NodeInfo, ServedFetch, Transport,
+    Backlog, Bundle, Exchange, Identity, Keys, NodeInfo, PermitClient, ServedFetch, Transport,
     serve_fetches,
 };
 use operator::{Access, Cut, Token, View};
@@ -196,7 +196,7 @@
     let source = platform::Reader::new(Store::new(settings.platform.addr), defaults, log.clone());
     tokio::spawn(read_platform(source, wanted, urgent.clone(), log.clone()));
     let ask_timeout = Duration::from_millis(settings.dispatch.ask_timeout_ms);
-    let client = Client::new(exchange.id(), ask_timeout, settings.dispatch.budget().window);
+    let client = PermitClient::new(exchange.id(), ask_timeout, settings.dispatch.budget().window);
     let start = Start {
         exchange,
         edge,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -27,7 +27,9 @@
 pub use exchange::{Effect, Exchange, FetchFailure, Identity, ROUND};
 pub use fetch::{FetchError, Fetched, ServedEnding, ServedFetch, fetch, serve_fetches};
 pub use members::{Member, Members, node_id};
-pub use permits::{Action, Client, Contact, Directory, PermitRequest, Place, Settlement};
+pub use permits::{
+    Contact, Directory, PermitAction, PermitClient, PermitOutcome, PermitRequest, Place,
+};
 pub use reader_election::{Rank, ReaderElection, Reads};
 pub use replica::{Replica, Versions};
 pub use transport::{Counts, Transport};
--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -52,18 +52,18 @@
 
 /// An action that the caller of the client has to carry out.
 #[derive(Clone, Debug)]
-pub enum Action {
+pub enum PermitAction {
     /// Ask a dispatcher of this node and pass its answer to `reply`.
     AskHere(Place, u64, Ask),
     /// Send a message.
     Send(NodeId, PermitMessage),
     /// Complete a permit request.
-    Settle(PermitId, Settlement),
+    Settle(PermitId, PermitOutcome),
 }
 
 /// Outcome of a permit request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Settlement {
+pub enum PermitOutcome {
     /// A slot, and the dispatcher that granted it.
     Granted(Grant, Place),
     /// No slot in time; contains the delay for a retry.
@@ -101,7 +101,7 @@
 
 /// Asking side of one node.
 #[derive(Debug)]
-pub struct Client {
+pub struct PermitClient {
     me: NodeId,
     /// An ask without an answer for this long counts as lost.
     timeout: Duration,
@@ -125,7 +125,7 @@
     pub direct: u64,
 }
 
-impl Client {
+impl PermitClient {
     /// Creates the client of the node `me`. `window` is the window of the repeat budget.
     pub fn new(me: NodeId, timeout: Duration, window: Duration) -> Self {
         Self {
@@ -154,7 +154,7 @@
         now: Time,
         request: PermitRequest,
         directory: &impl Directory,
-    ) -> Action {
+    ) -> PermitAction {
         let id = request.ask.id;
         let pending = Pending {
             request,
@@ -176,7 +176,7 @@
         id: PermitId,
         reply: Reply,
         directory: &impl Directory,
-    ) -> Option<Action> {
+    ) -> Option<PermitAction> {
         if let Place::Peer(node) = place
             && self.passed_over.remove(&node).is_some()
         {
@@ -202,20 +202,20 @@
             }
             Reply::Full => {
                 self.pending.remove(&id);
-                Some(Action::Settle(id, Settlement::Refused(PASS_OVER_TIME)))
+                Some(PermitAction::Settle(id, PermitOutcome::Refused(PASS_OVER_TIME)))
             }
             Reply::Granted(grant) => {
                 self.pending.remove(&id);
                 self.granted.insert(id, (place, now));
-                Some(Action::Settle(id, Settlement::Granted(grant, place)))
+                Some(PermitAction::Settle(id, PermitOutcome::Granted(grant, place)))
             }
             Reply::Refused { retry_after } => {
                 self.pending.remove(&id);
-                Some(Action::Settle(id, Settlement::Refused(retry_after)))
+                Some(PermitAction::Settle(id, PermitOutcome::Refused(retry_after)))
             }
             Reply::Rejected { retry_after } => {
                 self.pending.remove(&id);
-                Some(Action::Settle(id, Settlement::Rejected(retry_after)))
+                Some(PermitAction::Settle(id, PermitOutcome::Rejected(retry_after)))
             }
         }
     }
@@ -231,7 +231,7 @@
     }
 
     /// Handles the asks that were not answered in time.
-    pub fn tick(&mut self, now: Time, directory: &impl Directory) -> Vec<Action> {
+    pub fn tick(&mut self, now: Time, directory: &impl Directory) -> Vec<PermitAction> {
         self.forget_grants(now);
         let timed_out: Vec<PermitId> = self
             .pending
@@ -247,12 +247,12 @@
         now: Time,
         id: PermitId,
         directory: &impl Directory,
-    ) -> Vec<Action> {
+    ) -> Vec<PermitAction> {
         let Some(pending) = self.pending.get_mut(&id) else { return Vec::new() };
         let place = pending.place;
         if now >= pending.request.deadline {
             self.pending.remove(&id);
-            let refused = Action::Settle(id, Settlement::Refused(PASS_OVER_TIME));
+            let refused = PermitAction::Settle(id, PermitOutcome::Refused(PASS_OVER_TIME));
             return release(place, id).into_iter().chain([refused]).collect();
         }
         let is_passed_over =
@@ -289,7 +289,7 @@
     }
 
     /// Asks the current dispatcher of the service.
-    fn ask(&mut self, now: Time, id: PermitId, directory: &impl Directory) -> Action {
+    fn ask(&mut self, now: Time, id: PermitId, directory: &impl Directory) -> PermitAction {
         let pending = self.pending.get_mut(&id).expect("only pending requests are asked for");
         let place = match pending.failed_places < MAX_SILENT_NODES {
             true => {
@@ -303,7 +303,7 @@
         self.ask_at(now, id, place)
     }
 
-    fn ask_at(&mut self, now: Time, id: PermitId, place: Place) -> Action {
+    fn ask_at(&mut self, now: Time, id: PermitId, place: Place) -> PermitAction {
         let pending = self.pending.get_mut(&id).expect("only pending requests are asked for");
         pending.place = place;
         pending.asked_at = now;
@@ -314,11 +314,11 @@
         request.ask.send = ask.send.again();
         let ask = Ask { brings_part: self.carries_budget_share(now, service, place), ..ask };
         match place {
-            Place::Peer(node) => Action::Send(node, PermitMessage::Ask { service, ask }),
-            Place::Own => Action::AskHere(place, service, ask),
+            Place::Peer(node) => PermitAction::Send(node, PermitMessage::Ask { service, ask }),
+            Place::Own => PermitAction::AskHere(place, service, ask),
             Place::Direct => {
                 self.direct += 1;
-                Action::AskHere(place, service, ask)
+                PermitAction::AskHere(place, service, ask)
             }
         }
     }
@@ -351,9 +351,9 @@
     }
 }
 
-impl Client {
+impl PermitClient {
     /// Gives back a slot that arrives after its request was completed or moved to another place.
-    fn release_unwanted(&self, place: Place, id: PermitId, reply: &Reply) -> Option<Action> {
+    fn release_unwanted(&self, place: Place, id: PermitId, reply: &Reply) -> Option<PermitAction> {
         let is_in_use = self.granted.get(&id).is_some_and(|(it, _)| *it == place);
         match reply {
             Reply::Granted(_) if !is_in_use => release(place, id),
@@ -399,9 +399,11 @@
 
 /// Releases what a node may have granted to a request that moved to another place: its answer may
 /// have been lost.
-fn release(place: Place, id: PermitId) -> Option<Action> {
+fn release(place: Place, id: PermitId) -> Option<PermitAction> {
     match place {
-        Place::Peer(node) => Some(Action::Send(node, PermitMessage::Release { id, outcome: None })),
+        Place::Peer(node) => {
+            Some(PermitAction::Send(node, PermitMessage::Release { id, outcome: None }))
+        }
         Place::Own | Place::Direct => None,
     }
 }
--- a/crates/fleet/src/tests/permits.rs
+++ b/crates/fleet/src/tests/permits.rs
@@ -3,7 +3,9 @@
 use policy::{Ask, Grant, NodeId, PermitId, Reply, Reporter, RequestKey, SendKind, Tier, Time};
 use resources::Priority;
 
-use crate::permits::{Action, Client, Contact, Directory, PermitRequest, Place, Settlement};
+use crate::permits::{
+    Contact, Directory, PermitAction, PermitClient, PermitOutcome, PermitRequest, Place,
+};
 use crate::wire::PermitMessage;
 
 const ME: NodeId = NodeId(1);
@@ -59,39 +61,41 @@
 }
 
 /// Describes an action in a few words, such as `ask 2` or `direct`.
-fn describe(action: &Action) -> String {
+fn describe(action: &PermitAction) -> String {
     match action {
-        Action::AskHere(Place::Direct, ..) => "direct".into(),
-        Action::AskHere(place, ..) => format!("here {place:?}"),
-        Action::Send(node, PermitMessage::Ask { .. }) => format!("ask {}", node.0),
-        Action::Send(node, PermitMessage::Release { .. }) => format!("release {}", node.0),
-        Action::Send(..) => "other".into(),
-        Action::Settle(_, Settlement::Granted(_, place)) => format!("granted by {place:?}"),
-        Action::Settle(_, Settlement::Refused(_)) => "refused".into(),
-        Action::Settle(_, Settlement::Rejected(_)) => "rejected".into(),
+        PermitAction::AskHere(Place::Direct, ..) => "direct".into(),
+        PermitAction::AskHere(place, ..) => format!("here {place:?}"),
+        PermitAction::Send(node, PermitMessage::Ask { .. }) => format!("ask {}", node.0),
+        PermitAction::Send(node, PermitMessage::Release { .. }) => format!("release {}", node.0),
+        PermitAction::Send(..) => "other".into(),
+        PermitAction::Settle(_, PermitOutcome::Granted(_, place)) => {
+            format!("granted by {place:?}")
+        }
+        PermitAction::Settle(_, PermitOutcome::Refused(_)) => "refused".into(),
+        PermitAction::Settle(_, PermitOutcome::Rejected(_)) => "rejected".into(),
     }
 }
 
-fn start(table: &Table) -> (Client, String) {
-    let mut client = Client::new(ME, TIMEOUT, Duration::from_secs(10));
+fn start(table: &Table) -> (PermitClient, String) {
+    let mut client = PermitClient::new(ME, TIMEOUT, Duration::from_secs(10));
     let action = client.request(Time(0), permit_request(), table);
     let first = describe(&action);
     (client, first)
 }
 
-fn reply(client: &mut Client, table: &Table, from: u64, reply: Reply) -> String {
+fn reply(client: &mut PermitClient, table: &Table, from: u64, reply: Reply) -> String {
     let place = Place::Peer(NodeId(from));
     let action = client.reply(Time(1), place, permit_request().ask.id, reply, table);
     action.as_ref().map_or("nothing".into(), describe)
 }
 
-fn tick(client: &mut Client, table: &Table, ms: u64) -> Vec<String> {
+fn tick(client: &mut PermitClient, table: &Table, ms: u64) -> Vec<String> {
     let now = Time(0) + Duration::from_millis(ms);
     client.tick(now, table).iter().map(describe).collect()
 }
 
 /// The node that was asked first does not answer, and the next one is asked.
-fn ask_without_answer(client: &mut Client, table: &Table) {
+fn ask_without_answer(client: &mut PermitClient, table: &Table) {
     let asked: Vec<String> =
         [10, 20, 30].into_iter().flat_map(|it| tick(client, table, it)).collect();
     assert_eq!(asked, ["ask 2", "ask 2", "release 2", "ask 3"]);
@@ -122,7 +126,7 @@
 #[test]
 fn a_refused_hedge_asks_no_other_node() {
     let table = three_nodes();
-    let mut client = Client::new(ME, TIMEOUT, Duration::from_secs(10));
+    let mut client = PermitClient::new(ME, TIMEOUT, Duration::from_secs(10));
     let mut hedge = permit_request();
     hedge.ask.wait = false;
     client.request(Time(0), hedge, &table);
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use fleet::{
-    Action, Client, Delivery, Directory, Message, PermitMessage, PermitRequest, Place, Settlement,
+    Delivery, Directory, Message, PermitAction, PermitClient, PermitMessage, PermitOutcome,
+    PermitRequest, Place,
 };
 use policy::{
     Ask, BudgetLimits, Dispatcher, Grant, Kind, NodeId, Notice, PermitId, Precedence, Reply,
@@ -197,7 +198,7 @@
 }
 
 struct Node {
-    client: Client,
+    client: PermitClient,
     delivery: Delivery,
     /// Hands out slots to all nodes.
     own: Dispatcher,
@@ -231,7 +232,7 @@
         };
         let is_first = rank(SERVICE, (0..NODES).map(NodeId))[0] == id;
         Self {
-            client: Client::new(id, ASK_TIMEOUT, LIMITS.window),
+            client: PermitClient::new(id, ASK_TIMEOUT, LIMITS.window),
             delivery: Delivery::new(stream),
             own: dispatcher(if is_first { Precedence::First } else { Precedence::OneOfMany }),
             direct: dispatcher(Precedence::OneOfMany),
@@ -490,18 +491,18 @@
         self.act(i, action);
     }
 
-    fn act(&mut self, i: usize, action: Action) {
+    fn act(&mut self, i: usize, action: PermitAction) {
         match action {
-            Action::Send(to, message) => self.send(i, to.0 as usize, message),
-            Action::AskHere(place, _, ask) => {
+            PermitAction::Send(to, message) => self.send(i, to.0 as usize, message),
+            PermitAction::AskHere(place, _, ask) => {
                 let (now, id) = (self.now(), ask.id);
                 let reply = self.nodes[i].dispatcher(place).ask(now, ask, &mut self.rng);
                 self.reply(i, place, id, reply);
             }
-            Action::Settle(id, Settlement::Granted(grant, place)) => {
+            PermitAction::Settle(id, PermitOutcome::Granted(grant, place)) => {
                 self.granted(i, id, &grant, place);
             }
-            Action::Settle(id, Settlement::Refused(_) | Settlement::Rejected(_)) => {
+            PermitAction::Settle(id, PermitOutcome::Refused(_) | PermitOutcome::Rejected(_)) => {
                 self.requests.remove(&id);
             }
         }
