--- a/crates/dappleway/src/control/timers.rs
+++ b/crates/dappleway/src/control/timers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fleet::{Contact, Directory, PermitMessage, Phase, Place, Verdict};
+use fleet::{Directory, PermitMessage, Phase, Place, ReachabilityChange, Verdict};
 use policy::{NodeId, PermitId, Precedence, State, Time};
 use rustc_hash::FxHashMap;
 use slog::{info, warn};
@@ -153,14 +153,14 @@
     }
 
     fn log_contacts(&mut self) {
-        for it in self.client.take_contacts() {
+        for it in self.client.take_reachability_changes() {
             let addr = |node| self.exchange.members().get(node).map(|it| it.info.addr.to_string());
             match it {
-                Contact::Lost(node) => {
+                ReachabilityChange::Lost(node) => {
                     warn!(self.log, "dispatching node lost: its successor is asked";
                     "peer" => addr(node).unwrap_or_default())
                 }
-                Contact::Regained(node) => info!(self.log, "dispatching node regained";
+                ReachabilityChange::Regained(node) => info!(self.log, "dispatching node regained";
                     "peer" => addr(node).unwrap_or_default()),
             }
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -28,7 +28,7 @@
 pub use fetch::{FetchError, Fetched, ServedEnding, ServedFetch, fetch, serve_fetches};
 pub use members::{Member, Members, node_id};
 pub use permits::{
-    Contact, Directory, PermitAction, PermitClient, PermitOutcome, PermitRequest, Place,
+    Directory, PermitAction, PermitClient, PermitOutcome, PermitRequest, Place, ReachabilityChange,
 };
 pub use reader_election::{Rank, ReaderElection, Reads};
 pub use replica::{Replica, Versions};
--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -86,7 +86,7 @@
 
 /// A change in the reachability of a dispatching node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Contact {
+pub enum ReachabilityChange {
     /// The node does not answer or hands out no more slots; it is passed over for a while.
     Lost(NodeId),
     /// The node has answered again.
@@ -117,8 +117,8 @@
     next_forget: Time,
     /// Window of the repeat budget.
     window: Duration,
-    /// Reachability changes since the last call of `take_contacts`.
-    contacts: Vec<Contact>,
+    /// Reachability changes since the last call of `take_reachability_changes`.
+    contacts: Vec<ReachabilityChange>,
     /// Number of asks that got no answer.
     pub timeouts: u64,
     /// Number of slots picked locally because no node answered.
@@ -180,7 +180,7 @@
         if let Place::Peer(node) = place
             && self.passed_over.remove(&node).is_some()
         {
-            self.contacts.push(Contact::Regained(node));
+            self.contacts.push(ReachabilityChange::Regained(node));
         }
         let Some(pending) = self.pending.get_mut(&id).filter(|it| it.place == place) else {
             return self.release_unwanted(place, id, &reply);
@@ -196,7 +196,7 @@
                 pending.failed_places += 1;
                 if let Place::Peer(node) = place {
                     self.passed_over.insert(node, (now + PASS_OVER_TIME, PASS_OVER_TIME));
-                    self.contacts.push(Contact::Lost(node));
+                    self.contacts.push(ReachabilityChange::Lost(node));
                 }
                 Some(self.ask(now, id, directory))
             }
@@ -221,7 +221,7 @@
     }
 
     /// Returns the dispatching nodes that were lost or regained since the last call.
-    pub fn take_contacts(&mut self) -> Vec<Contact> {
+    pub fn take_reachability_changes(&mut self) -> Vec<ReachabilityChange> {
         std::mem::take(&mut self.contacts)
     }
 
@@ -282,7 +282,7 @@
     pub fn pass_over(&mut self, now: Time, node: NodeId) {
         let previous = self.passed_over.get(&node).map(|(_, length)| *length);
         if previous.is_none() {
-            self.contacts.push(Contact::Lost(node));
+            self.contacts.push(ReachabilityChange::Lost(node));
         }
         let length = previous.map_or(PASS_OVER_TIME, |it| (it * 2).min(MAX_PASS_OVER_TIME));
         self.passed_over.insert(node, (now + length, length));
--- a/crates/fleet/src/tests/permits.rs
+++ b/crates/fleet/src/tests/permits.rs
@@ -4,7 +4,7 @@
 use resources::Priority;
 
 use crate::permits::{
-    Contact, Directory, PermitAction, PermitClient, PermitOutcome, PermitRequest, Place,
+    Directory, PermitAction, PermitClient, PermitOutcome, PermitRequest, Place, ReachabilityChange,
 };
 use crate::wire::PermitMessage;
 
@@ -207,13 +207,13 @@
 fn a_lost_and_regained_node_is_reported_once_each() {
     let table = three_nodes();
     let (mut client, _) = start(&table);
-    assert_eq!(client.take_contacts(), []);
+    assert_eq!(client.take_reachability_changes(), []);
     ask_without_answer(&mut client, &table);
-    assert_eq!(client.take_contacts(), [Contact::Lost(NodeId(2))]);
+    assert_eq!(client.take_reachability_changes(), [ReachabilityChange::Lost(NodeId(2))]);
     // A late answer regains the node; the second answer changes nothing.
     reply(&mut client, &table, 2, Reply::Queued);
     reply(&mut client, &table, 2, Reply::Queued);
-    assert_eq!(client.take_contacts(), [Contact::Regained(NodeId(2))]);
+    assert_eq!(client.take_reachability_changes(), [ReachabilityChange::Regained(NodeId(2))]);
 }
 
 /// Guards against releasing a slot in use. The dispatching node answers each repeated ask with the
