--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -319,7 +319,7 @@
 
     /// Asks that are under way need fine timers; otherwise waking up is most of what a node costs.
     fn tick_interval(&self) -> Duration {
-        let is_finding = self.exchange.is_finding(self.now());
+        let is_finding = self.exchange.is_discovering(self.now());
         let is_asking = !self.client.is_idle() || !self.allowances.is_idle();
         if is_asking || is_finding { TICK } else { IDLE_TICK }
     }
@@ -416,7 +416,7 @@
         });
         let mut nodes: Vec<_> = others.collect();
         let serves = matches!(self.exchange.phase(), Phase::Fresh | Phase::Ready);
-        if serves && (nodes.is_empty() || !self.exchange.is_newcomer(self.now)) {
+        if serves && (nodes.is_empty() || !self.exchange.is_recently_joined(self.now)) {
             let millicores = self.exchange.capacity().millicores;
             nodes.push(Serving { node: self.me.node, millicores, is_in_own_region: true });
         }
--- a/crates/dappleway/src/control/allowances.rs
+++ b/crates/dappleway/src/control/allowances.rs
@@ -146,7 +146,7 @@
         }
         self.refresh_owners(now);
         let size = self.exchange.members().len() + 1;
-        if !self.exchange.is_finding(now) {
+        if !self.exchange.is_discovering(now) {
             self.allowances.known_since.get_or_insert(now);
         }
         let Allowances { client, owner, owners: (owners, _), known_since, .. } =
--- a/crates/dappleway/src/control/exchange.rs
+++ b/crates/dappleway/src/control/exchange.rs
@@ -63,7 +63,7 @@
                     let (keys, urgent) = (self.keys.clone(), self.urgent.clone());
                     tokio::spawn(fetch_from_peer(addr, keys, me, urgent, self.log.clone()));
                 }
-                Effect::Endpoints => self.follow_endpoints(now),
+                Effect::EndpointsChanged => self.follow_endpoints(now),
                 Effect::Verdict(it) => self.verdict(now, it),
                 Effect::Rejection(it) => self.services.reject(now, it),
             }
--- a/crates/dappleway/src/control/publications.rs
+++ b/crates/dappleway/src/control/publications.rs
@@ -37,7 +37,7 @@
         }
         let take = |it: &Document| self.accept(now, it, Origin::Platform);
         published.document = published.document.take().filter(take);
-        let effects = self.exchange.read(now, published);
+        let effects = self.exchange.platform_read(now, published);
         self.apply(now, effects);
         self.set_reads(now);
     }
--- a/crates/dappleway/src/control/suspects.rs
+++ b/crates/dappleway/src/control/suspects.rs
@@ -69,7 +69,7 @@
                 "content" => format!("{:016x}", it.request.0), "valid_ms" => it.valid_ms);
             self.services.reject(now, *it);
         }
-        let effects = self.exchange.tell_rejections(now, rejections);
+        let effects = self.exchange.announce_rejections(now, rejections);
         self.apply(now, effects);
     }
 }
--- a/crates/dappleway/src/control/timers.rs
+++ b/crates/dappleway/src/control/timers.rs
@@ -131,7 +131,7 @@
         }
         warn!(self.log, "configuration is behind: peers and platform did not give the newer one";
             "config" => self.exchange.replica().versions().config,
-            "known_to_exist" => self.exchange.told().config,
+            "known_to_exist" => self.exchange.newest_known().config,
             "behind_ms" => behind.as_millis() as u64,
             "proof_age_ms" => duty.age(now).as_millis() as u64, "reads" => ?duty.reads(now),
             "is_fetching" => self.exchange.is_fetching());
@@ -194,7 +194,7 @@
 
     pub(super) fn tell_ejected(&mut self, now: Time, endpoint: SocketAddr) {
         let valid_ms = EJECTED_VALID.as_millis() as u32;
-        self.exchange.tell(now, Verdict { endpoint, valid_ms });
+        self.exchange.add_verdict(now, Verdict { endpoint, valid_ms });
     }
 
     /// Renews the slots that this node's requests use and the verdicts that still hold.
@@ -237,7 +237,7 @@
             0 => Phase::Starting,
             _ if self.exchange.phase() == Phase::Ready => Phase::Ready,
             _ if age < ALL_FRESH_AFTER => Phase::Fresh,
-            _ if self.exchange.is_newcomer(now) => Phase::Fresh,
+            _ if self.exchange.is_recently_joined(now) => Phase::Fresh,
             _ => Phase::Ready,
         }
     }
@@ -246,7 +246,7 @@
         self.outputs.shared.set_fresh(self.exchange.reader_election().is_fresh(now));
         let reads = self.exchange.reader_election().reads(now);
         let known = self.exchange.replica().versions().registry;
-        let others = self.exchange.near();
+        let others = self.exchange.domain_peers();
         self.outputs.wanted.send_if_modified(|it| {
             let is_news = it.reads != reads;
             *it = Wanted { reads, known, others };
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -65,7 +65,7 @@
     /// Fetch from a peer what it knows of the platform.
     Fetch(SocketAddr),
     /// The set of endpoints has changed.
-    Endpoints,
+    EndpointsChanged,
     /// The peer that dispatches an endpoint uses it last or has ejected it.
     Verdict(Verdict),
     /// A peer has found a request that crashes endpoints.
@@ -170,7 +170,7 @@
     }
 
     /// Number of other nodes in the own failure domain.
-    pub fn near(&self) -> usize {
+    pub fn domain_peers(&self) -> usize {
         self.domain_members().count()
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// The newest versions known to exist, here or elsewhere.
-    pub fn told(&self) -> Versions {
+    pub fn newest_known(&self) -> Versions {
         self.newest_reported.max_of(self.replica.versions())
     }
 
@@ -228,12 +228,12 @@
     }
 
     /// Whether this node recently joined a fleet that was already serving; see `Members::serving`.
-    pub fn is_newcomer(&self, now: Time) -> bool {
+    pub fn is_recently_joined(&self, now: Time) -> bool {
         self.discovered_ready && now.since(self.started_at) < RECENTLY_JOINED_FOR
     }
 
     /// Adds a verdict of this node to the gossip.
-    pub fn tell(&mut self, now: Time, verdict: Verdict) {
+    pub fn add_verdict(&mut self, now: Time, verdict: Verdict) {
         let until = now + Duration::from_millis(verdict.valid_ms.into());
         self.verdicts.insert(verdict.endpoint, (verdict, until));
     }
@@ -266,7 +266,7 @@
     }
 
     /// Whether rounds are frequent because this node is still discovering others.
-    pub fn is_finding(&self, now: Time) -> bool {
+    pub fn is_discovering(&self, now: Time) -> bool {
         let is_new = now.since(self.started_at) < RECENTLY_STARTED_FOR;
         is_new && now.since(self.last_discovery) < DISCOVERY_QUIET_TIME
     }
@@ -275,7 +275,7 @@
     pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Effect> {
         let mut effects = Vec::new();
         if self.replica.tick(now) {
-            effects.push(Effect::Endpoints);
+            effects.push(Effect::EndpointsChanged);
         }
         if self.duty.announcement_is_due(now) {
             effects.extend(self.announce_changes(
--- a/crates/fleet/src/exchange/rejections.rs
+++ b/crates/fleet/src/exchange/rejections.rs
@@ -62,7 +62,7 @@
     /// Sends new rejections of this node to all peers at once: by gossip rounds alone some nodes
     /// would go on forwarding the requests for seconds. Nodes that miss the message or start later
     /// receive the rejections in rounds.
-    pub fn tell_rejections(&mut self, now: Time, mut all: Vec<Rejection>) -> Vec<Effect> {
+    pub fn announce_rejections(&mut self, now: Time, mut all: Vec<Rejection>) -> Vec<Effect> {
         all.retain(|it| self.rejections.record(now, *it));
         let mut effects = Vec::new();
         for rejections in all.chunks(REJECTIONS_PER_FRAME) {
--- a/crates/fleet/src/exchange/rounds.rs
+++ b/crates/fleet/src/exchange/rounds.rs
@@ -31,7 +31,7 @@
     pub(super) fn round(&mut self, now: Time, rng: &mut impl Rng) -> Option<Effect> {
         let is_recently_started = now.since(self.started_at) < RECENTLY_STARTED_FOR;
         let interval = match is_recently_started {
-            true if self.is_finding(now) => DISCOVERY_ROUND,
+            true if self.is_discovering(now) => DISCOVERY_ROUND,
             true => START_ROUND,
             false => ROUND,
         };
--- a/crates/fleet/src/exchange/updates.rs
+++ b/crates/fleet/src/exchange/updates.rs
@@ -24,14 +24,14 @@
 impl Exchange {
     /// Applies what this node has read from the platform, and forwards the changes to its failure
     /// domain.
-    pub fn read(&mut self, now: Time, mut published: Published) -> Vec<Effect> {
+    pub fn platform_read(&mut self, now: Time, mut published: Published) -> Vec<Effect> {
         self.duty.platform_answered(now);
         let before = self.replica.versions();
         // A read follows the previous read of this node without a gap.
         published.after = published.after.map(|_| before.registry);
         let mut effects = Vec::new();
         if self.replica.update(now, &published) {
-            effects.push(Effect::Endpoints);
+            effects.push(Effect::EndpointsChanged);
         }
         // An answer of the platform takes precedence over reports of peers.
         self.newest_reported = self.replica.versions();
@@ -89,7 +89,7 @@
         }
         let mut effects = self.record_nodes(now, members);
         if self.replica.update(now, published) {
-            effects.push(Effect::Endpoints);
+            effects.push(Effect::EndpointsChanged);
         }
         self.update_missing(now);
         effects
@@ -147,7 +147,7 @@
         };
         // Without changes there is no position up to which the update would complete this copy.
         if latest.is_known() && self.replica.update(now, &published) {
-            effects.push(Effect::Endpoints);
+            effects.push(Effect::EndpointsChanged);
         }
         self.newest_reported = self.newest_reported.max_of(update.versions);
         if self.is_behind(update.versions) {
--- a/crates/fleet/tests/exchange.rs
+++ b/crates/fleet/tests/exchange.rs
@@ -112,7 +112,7 @@
 fn a_verdict_reaches_every_node() {
     let mut net = started(40, 0.0);
     let endpoint = ([10, 0, 0, 1], 80).into();
-    net.nodes[0].tell(net.now, Verdict { endpoint, valid_ms: 60_000 });
+    net.nodes[0].add_verdict(net.now, Verdict { endpoint, valid_ms: 60_000 });
     net.run(Duration::from_secs(15));
     let knows = |it: &&fleet::Exchange| it.verdicts().any(|v| v.endpoint == endpoint);
     assert_eq!(net.nodes.iter().filter(knows).count(), 40);
@@ -157,7 +157,7 @@
     (0..5).for_each(|i| net.set_phase(i, Phase::Fresh));
     net.run(Duration::from_secs(1));
     assert_eq!((0..5).map(|i| serving(&net, i)).collect::<Vec<_>>(), [4; 5]);
-    assert!(!net.nodes[0].is_newcomer(net.now));
+    assert!(!net.nodes[0].is_recently_joined(net.now));
     // The nodes become ready one after the other, which does not change the set of candidates.
     for i in 0..5 {
         net.set_phase(i, Phase::Ready);
@@ -168,7 +168,7 @@
     net.restart(4);
     net.set_phase(4, Phase::Fresh);
     net.run(Duration::from_secs(2));
-    assert!(net.nodes[4].is_newcomer(net.now));
+    assert!(net.nodes[4].is_recently_joined(net.now));
     assert_eq!((0..5).map(|i| serving(&net, i)).collect::<Vec<_>>(), [3, 3, 3, 3, 4]);
     net.run(Duration::from_secs(8));
     assert_eq!((0..5).map(|i| serving(&net, i)).collect::<Vec<_>>(), [4; 5]);
@@ -189,7 +189,8 @@
     };
     let (mut reader, unknown_node) = (node(0, 200), node(1, 20));
     let now = Time(0) + Duration::from_secs(2);
-    reader.read(now, Published { latest: READ, complete_to: READ, ..Published::default() });
+    reader
+        .platform_read(now, Published { latest: READ, complete_to: READ, ..Published::default() });
     let update = PlatformUpdate {
         sender: unknown_node.info(),
         versions: unknown_node.info().versions,
@@ -233,7 +234,10 @@
         let me = Identity { addr: addr(i), failure_domain: 0, incarnation: 1, capacity };
         let mut it = Exchange::new(Time(0), me, &[], &mut rng);
         let read = Position { era, revision: 100 / u64::from(era) };
-        it.read(Time(0), Published { latest: read, complete_to: read, ..Published::default() });
+        it.platform_read(
+            Time(0),
+            Published { latest: read, complete_to: read, ..Published::default() },
+        );
         it
     };
     (node(0, era), node(1, 2))
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -239,7 +239,7 @@
         if let Some(it) = &news.document {
             self.accept(i, it);
         }
-        let effects = self.nodes[i].read(self.now, news);
+        let effects = self.nodes[i].platform_read(self.now, news);
         self.note_endpoints(i);
         self.apply(i, effects);
     }
@@ -302,7 +302,7 @@
 
     /// Node `i` has come to reject a request.
     pub fn reject(&mut self, i: usize, it: Rejection) {
-        let effects = self.nodes[i].tell_rejections(self.now, vec![it]);
+        let effects = self.nodes[i].announce_rejections(self.now, vec![it]);
         self.apply(i, effects);
     }
 
@@ -327,7 +327,7 @@
             match effect {
                 Effect::Send(to, message) => self.deliver(i, to, message),
                 Effect::Fetch(from) => self.fetch(i, from),
-                Effect::Endpoints | Effect::Verdict(_) | Effect::Rejection(_) => {}
+                Effect::EndpointsChanged | Effect::Verdict(_) | Effect::Rejection(_) => {}
             }
         }
     }
