--- a/crates/dappleway/src/control/report.rs
+++ b/crates/dappleway/src/control/report.rs
@@ -65,7 +65,7 @@
             in_force: it.info.versions.config,
             registry_era: it.info.versions.registry.era,
             registry_revision: it.info.versions.registry.revision,
-            heard_ms: now.since(it.heard).as_millis() as u64,
+            heard_ms: now.since(it.last_seen).as_millis() as u64,
         });
         let mut members: Vec<_> = members.collect();
         members.sort_by(|a, b| a.node.cmp(&b.node));
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -24,7 +24,7 @@
     /// Its latest known state.
     pub info: NodeInfo,
     /// When that state was received.
-    pub heard: Time,
+    pub last_seen: Time,
     /// Until then a node that joined a serving fleet is not asked to dispatch, because it has no
     /// observations of the endpoints.
     recently_joined_until: Time,
@@ -58,7 +58,7 @@
             }
             None => Time::default(),
         };
-        self.by_id.insert(id, Member { info, heard: now, recently_joined_until });
+        self.by_id.insert(id, Member { info, last_seen: now, recently_joined_until });
         true
     }
 
@@ -100,12 +100,12 @@
         self.iter()
             .filter(move |(_, it)| matches!(it.info.phase, Phase::Fresh | Phase::Ready))
             .filter(move |(_, it)| {
-                now >= it.recently_joined_until && now.since(it.heard) < quiet_limit
+                now >= it.recently_joined_until && now.since(it.last_seen) < quiet_limit
             })
     }
 
     /// Drops nodes from which nothing was received for `age`.
     pub fn expire(&mut self, now: Time, age: Duration) {
-        self.by_id.retain(|_, it| now.since(it.heard) < age);
+        self.by_id.retain(|_, it| now.since(it.last_seen) < age);
     }
 }
