--- a/crates/dappleway/src/control/metrics.rs
+++ b/crates/dappleway/src/control/metrics.rs
@@ -63,7 +63,7 @@
 
     /// Takes in one that has ended.
     pub fn note(&self, it: &ServedFetch) {
-        self.count.with_label_values(&[it.ending.name()]).inc();
+        self.count.with_label_values(&[it.outcome.name()]).inc();
         self.bytes.inc_by(it.bytes as u64);
     }
 }
--- a/crates/dappleway/src/node.rs
+++ b/crates/dappleway/src/node.rs
@@ -174,7 +174,7 @@
     let on_served = move |it: ServedFetch| {
         served.note(&it);
         info!(served_log, "fetch served"; "peer" => %it.peer, "ms" => it.took.as_millis() as u64,
-            "bytes" => it.bytes, "ending" => it.ending.name(), "under_way" => it.under_way);
+            "bytes" => it.bytes, "ending" => it.outcome.name(), "under_way" => it.in_flight);
     };
     let bundle = move |asker| bundle(bundles.clone(), asker);
     let backlog = Backlog::for_link(settings.node.link_mbps);
--- a/crates/fleet/src/backlog.rs
+++ b/crates/fleet/src/backlog.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Backlog {
     limit: usize,
-    under_way: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
 /// A reservation in the backlog, returned on drop.
@@ -35,25 +35,25 @@
     /// Creates the backlog of a node with a link of `mbps` Mbit/s.
     pub fn for_link(mbps: f64) -> Arc<Self> {
         let limit = (mbps * BYTES_PER_MBIT * MAX_DELAY.as_secs_f64()) as usize;
-        Arc::new(Self { limit, under_way: AtomicUsize::new(0) })
+        Arc::new(Self { limit, in_flight: AtomicUsize::new(0) })
     }
 
     /// Reserves space for an answer of `bytes` bytes; returns `None` if it does not fit. An answer
     /// longer than the limit is admitted while nothing else is in flight.
     pub fn admit(self: &Arc<Self>, bytes: usize) -> Option<Admitted> {
         let add = |it: usize| (it == 0 || it + bytes <= self.limit).then_some(it + bytes);
-        let admitted = self.under_way.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
+        let admitted = self.in_flight.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
         admitted.ok().map(|_| Admitted { backlog: self.clone(), bytes })
     }
 
     /// Bytes in flight.
-    pub fn under_way(&self) -> usize {
-        self.under_way.load(Ordering::Relaxed)
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        self.backlog.under_way.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.backlog.in_flight.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/fleet/src/fetch.rs
+++ b/crates/fleet/src/fetch.rs
@@ -74,29 +74,29 @@
     /// Length of the answer in bytes.
     pub bytes: usize,
     /// How the fetch ended.
-    pub ending: ServedEnding,
+    pub outcome: ServedOutcome,
     /// Bytes in flight to other peers when it ended.
-    pub under_way: usize,
+    pub in_flight: usize,
     /// Time from the connection to its end.
     pub took: Duration,
 }
 
 /// How a served fetch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServedEnding {
+pub enum ServedOutcome {
     /// The asking node has received the complete answer.
-    Whole,
+    Complete,
     /// The asking node was refused because too many bytes are in flight.
     Busy,
     /// The connection broke off.
     Broken,
 }
 
-impl ServedEnding {
+impl ServedOutcome {
     /// Short name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Busy => "busy",
             Self::Broken => "broken",
         }
@@ -139,12 +139,12 @@
             let start = Instant::now();
             // The asking node notices a failed fetch and asks another peer.
             let result = timeout(FETCH_TIMEOUT, serve(stream, &keys, &backlog, bundle)).await;
-            let (ending, bytes) = match result {
+            let (outcome, bytes) = match result {
                 Ok(Ok(it)) => it,
-                _ => (ServedEnding::Broken, 0),
+                _ => (ServedOutcome::Broken, 0),
             };
-            let (took, under_way) = (start.elapsed(), backlog.under_way());
-            served(ServedFetch { peer, bytes, ending, under_way, took });
+            let (took, in_flight) = (start.elapsed(), backlog.in_flight());
+            served(ServedFetch { peer, bytes, outcome, in_flight, took });
             drop(permit);
         });
     }
@@ -155,18 +155,18 @@
     keys: &Keys,
     backlog: &Arc<Backlog>,
     bundle: impl Fn(NodeInfo) -> Fut,
-) -> Result<(ServedEnding, usize), FetchError> {
+) -> Result<(ServedOutcome, usize), FetchError> {
     let (asker, _) = read::<NodeInfo>(&mut stream, keys, MAX_REQUEST_BYTES).await?;
     let body = encode(&FetchAnswer::Bundle(bundle(asker).await))?;
     let Some(_admitted) = backlog.admit(body.len()) else {
         write(&mut stream, keys, &encode(&FetchAnswer::Busy)?).await?;
-        return Ok((ServedEnding::Busy, 0));
+        return Ok((ServedOutcome::Busy, 0));
     };
     write(&mut stream, keys, &body).await?;
     // Written bytes may still wait for the link; the asking node closes the connection when it has
     // received all of them.
     let _ = stream.read(&mut [0]).await;
-    Ok((ServedEnding::Whole, body.len()))
+    Ok((ServedOutcome::Complete, body.len()))
 }
 
 fn encode(message: &impl Serialize) -> Result<Vec<u8>, FetchError> {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -25,7 +25,7 @@
 pub use bundle::{Bundle, EncodedDocument, RegistryCopy};
 pub use delivery::{Delivery, MessageTooLong};
 pub use exchange::{Effect, Exchange, FetchFailure, Identity, ROUND};
-pub use fetch::{FetchError, Fetched, ServedEnding, ServedFetch, fetch, serve_fetches};
+pub use fetch::{FetchError, Fetched, ServedFetch, ServedOutcome, fetch, serve_fetches};
 pub use members::{Member, Members, node_id};
 pub use permits::{
     Directory, PermitAction, PermitClient, PermitOutcome, PermitRequest, Place, ReachabilityChange,
--- a/crates/fleet/tests/fetch.rs
+++ b/crates/fleet/tests/fetch.rs
@@ -5,7 +5,7 @@
 
 use fleet::{
     Backlog, Bundle, Capacity, EncodedDocument, FetchError, Key, Keys, NodeInfo, Phase,
-    ServedEnding, Versions, fetch, serve_fetches,
+    ServedOutcome, Versions, fetch, serve_fetches,
 };
 use resources::Document;
 use tokio::net::TcpListener;
@@ -38,11 +38,11 @@
 }
 
 /// A node that serves fetches, and a channel with the result of each fetch.
-async fn serving(backlog: Arc<Backlog>) -> (SocketAddr, mpsc::UnboundedReceiver<ServedEnding>) {
+async fn serving(backlog: Arc<Backlog>) -> (SocketAddr, mpsc::UnboundedReceiver<ServedOutcome>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let (tx, ended) = mpsc::unbounded_channel();
-    let served = move |it: fleet::ServedFetch| tx.send(it.ending).unwrap();
+    let served = move |it: fleet::ServedFetch| tx.send(it.outcome).unwrap();
     tokio::spawn(serve_fetches(listener, keys(), backlog, |_| async { bundle() }, served));
     (addr, ended)
 }
@@ -54,8 +54,8 @@
     let fetched = fetch(addr, &keys(), asker()).await.unwrap();
     assert_eq!(fetched.bundle, bundle());
     assert_eq!(fetched.bundle.decode().unwrap().document.unwrap().version, 7);
-    assert_eq!(ended.recv().await, Some(ServedEnding::Whole));
-    assert_eq!(backlog.under_way(), 0);
+    assert_eq!(ended.recv().await, Some(ServedOutcome::Complete));
+    assert_eq!(backlog.in_flight(), 0);
 }
 
 #[tokio::test]
@@ -66,7 +66,7 @@
     let long = backlog.admit(1_000_000).expect("nothing else is in flight");
     let refused = fetch(addr, &keys(), asker()).await;
     assert!(matches!(refused, Err(FetchError::Busy)), "{refused:?}");
-    assert_eq!(ended.recv().await, Some(ServedEnding::Busy));
+    assert_eq!(ended.recv().await, Some(ServedOutcome::Busy));
     drop(long);
     assert!(fetch(addr, &keys(), asker()).await.is_ok());
 }
