--- a/crates/dappleway/src/control/allowances.rs
+++ b/crates/dappleway/src/control/allowances.rs
@@ -90,7 +90,7 @@
         from: NodeId,
         seq: u64,
         organisation: u64,
-        entrusted: &Entrusted,
+        delegation: &Entrusted,
     ) -> Decision {
         let Some(known_since) = self.known_since else { return Decision::NotYet };
         let phase = match now.since(known_since) {
@@ -98,7 +98,7 @@
             _ => OwnerPhase::Settled,
         };
         let bucket = self.bucket(organisation);
-        self.owner.ask(now, from, seq, bucket, entrusted, phase)
+        self.owner.ask(now, from, seq, bucket, delegation, phase)
     }
 
     fn bucket(&self, organisation: u64) -> (u64, Option<Allowance>) {
@@ -107,7 +107,7 @@
 
     /// Asks that were settled by this node alone.
     pub(super) fn alone(&self) -> u64 {
-        self.client.alone
+        self.client.without_owner
     }
 }
 
@@ -123,8 +123,8 @@
 
     pub(super) fn allowance_message(&mut self, now: Time, from: NodeId, message: AllowanceMessage) {
         match message {
-            AllowanceMessage::Ask { seq, organisation, entrusted } => {
-                let decision = self.allowances.decide(now, from, seq, organisation, &entrusted);
+            AllowanceMessage::Ask { seq, organisation, delegation } => {
+                let decision = self.allowances.decide(now, from, seq, organisation, &delegation);
                 self.send_allowance(from, AllowanceMessage::Answer { seq, decision });
             }
             AllowanceMessage::Answer { seq, decision } => {
@@ -132,10 +132,10 @@
                 action.into_iter().for_each(|it| self.allowance_action(now, it));
             }
             // The size of the fleet, and so of a share, is not known before.
-            AllowanceMessage::Entrust(it) if self.allowances.known_since.is_some() => {
+            AllowanceMessage::Delegate(it) if self.allowances.known_since.is_some() => {
                 self.allowances.owner.buckets.entrust(now, from, &it);
             }
-            AllowanceMessage::Entrust(_) => {}
+            AllowanceMessage::Delegate(_) => {}
         }
     }
 
@@ -153,9 +153,9 @@
             &mut self.allowances;
         owner.buckets.set_nodes(now, size);
         if known_since.is_some() {
-            client.know_fleet(now, owners);
-            let entrusted = client.entrusted(now, owners, self.me.node);
-            owner.buckets.entrust(now, self.me.node, &entrusted);
+            client.fleet_discovered(now, owners);
+            let delegation = client.delegation(now, owners, self.me.node);
+            owner.buckets.entrust(now, self.me.node, &delegation);
         }
         for action in client.tick(now, owners) {
             self.allowance_action(now, action);
@@ -164,9 +164,9 @@
 
     fn allowance_action(&mut self, now: Time, action: AllowanceAction) {
         match action {
-            AllowanceAction::AskHere { seq, organisation, entrusted } => {
+            AllowanceAction::AskHere { seq, organisation, delegation } => {
                 let me = self.me.node;
-                let decision = self.allowances.decide(now, me, seq, organisation, &entrusted);
+                let decision = self.allowances.decide(now, me, seq, organisation, &delegation);
                 if let Some(it) = self.allowances.client.answer(now, me, seq, decision) {
                     self.allowance_action(now, it);
                 }
--- a/crates/fleet/src/allowances.rs
+++ b/crates/fleet/src/allowances.rs
@@ -24,7 +24,7 @@
         /// Hash of the organisation's name.
         organisation: u64,
         /// The owners that the sender currently uses.
-        entrusted: Entrusted,
+        delegation: Entrusted,
     },
     /// Answers an ask.
     Answer {
@@ -34,5 +34,5 @@
         decision: Decision,
     },
     /// Names the owners that the sender currently uses.
-    Entrust(Entrusted),
+    Delegate(Entrusted),
 }
--- a/crates/fleet/src/allowances/client.rs
+++ b/crates/fleet/src/allowances/client.rs
@@ -39,7 +39,7 @@
         /// Hash of the organisation's name.
         organisation: u64,
         /// The owners that this node uses: itself and others, or itself alone.
-        entrusted: Entrusted,
+        delegation: Entrusted,
     },
     /// Send a message.
     Send(NodeId, AllowanceMessage),
@@ -86,7 +86,7 @@
     /// carry the mark of first owners.
     first_owners: Option<(Vec<NodeId>, Time)>,
     /// Number of asks completed without an owner.
-    pub alone: u64,
+    pub without_owner: u64,
 }
 
 impl AllowanceClient {
@@ -103,12 +103,12 @@
             exhausted: FxHashMap::default(),
             last_delegated: FxHashMap::default(),
             named_owners: Vec::new(),
-            alone: 0,
+            without_owner: 0,
         }
     }
 
     /// Records that this node has discovered the fleet and names these owners from now on.
-    pub fn know_fleet(&mut self, now: Time, owners: &[NodeId]) {
+    pub fn fleet_discovered(&mut self, now: Time, owners: &[NodeId]) {
         if self.first_owners.is_none() {
             self.first_owners = Some((owners.to_vec(), now + FIRST_OWNERS_FOR));
             // The owners have to be notified at once.
@@ -117,7 +117,7 @@
     }
 
     /// The delegation that this node sends to an owner.
-    pub fn entrusted(&self, now: Time, owners: &[NodeId], to: NodeId) -> Entrusted {
+    pub fn delegation(&self, now: Time, owners: &[NodeId], to: NodeId) -> Entrusted {
         let is_first =
             self.first_owners.as_ref().is_some_and(|(it, until)| now < *until && it.contains(&to));
         Entrusted { owners: owners.to_vec(), life: self.incarnation, is_first }
@@ -197,7 +197,7 @@
         for owner in owners.iter().filter(|it| **it != self.me) {
             if !self.last_delegated.contains_key(owner) {
                 self.last_delegated.insert(*owner, now);
-                let message = AllowanceMessage::Entrust(self.entrusted(now, owners, *owner));
+                let message = AllowanceMessage::Delegate(self.delegation(now, owners, *owner));
                 actions.push(AllowanceAction::Send(*owner, message));
             }
         }
@@ -215,8 +215,8 @@
         let removed = former.into_iter().filter(|it| !owners.contains(it) && *it != self.me);
         removed
             .map(|it| {
-                let entrusted = self.entrusted(now, owners, it);
-                AllowanceAction::Send(it, AllowanceMessage::Entrust(entrusted))
+                let delegation = self.delegation(now, owners, it);
+                AllowanceAction::Send(it, AllowanceMessage::Delegate(delegation))
             })
             .collect()
     }
@@ -252,20 +252,20 @@
         let Some(owner) = owner else {
             pending.silent_owners = MAX_SILENT_OWNERS;
             pending.owner = self.me;
-            self.alone += 1;
-            let entrusted = self.entrusted(now, &[self.me], self.me);
-            return AllowanceAction::AskHere { seq, organisation, entrusted };
+            self.without_owner += 1;
+            let delegation = self.delegation(now, &[self.me], self.me);
+            return AllowanceAction::AskHere { seq, organisation, delegation };
         };
         if owner != pending.owner {
             pending.unanswered_asks = 0;
         }
         pending.owner = owner;
         pending.unanswered_asks += 1;
-        let entrusted = self.entrusted(now, owners, owner);
+        let delegation = self.delegation(now, owners, owner);
         if owner == self.me {
-            return AllowanceAction::AskHere { seq, organisation, entrusted };
+            return AllowanceAction::AskHere { seq, organisation, delegation };
         }
         self.last_delegated.insert(owner, now);
-        AllowanceAction::Send(owner, AllowanceMessage::Ask { seq, organisation, entrusted })
+        AllowanceAction::Send(owner, AllowanceMessage::Ask { seq, organisation, delegation })
     }
 }
--- a/crates/fleet/src/allowances/owner.rs
+++ b/crates/fleet/src/allowances/owner.rs
@@ -47,11 +47,11 @@
         from: NodeId,
         seq: u64,
         bucket: (u64, Option<Allowance>),
-        entrusted: &Entrusted,
+        delegation: &Entrusted,
         phase: OwnerPhase,
     ) -> Decision {
         self.forget(now);
-        self.buckets.entrust(now, from, entrusted);
+        self.buckets.entrust(now, from, delegation);
         if let Some((decision, _)) = self.answered.get(&(from, seq)) {
             return *decision;
         }
--- a/crates/fleet/src/tests/allowances.rs
+++ b/crates/fleet/src/tests/allowances.rs
@@ -77,8 +77,8 @@
         }
         actions.into_iter().find(|it| matches!(it, AllowanceAction::AskHere { .. }))
     });
-    let entrusted = client.entrusted(ms(900), &[ME], ME);
-    let alone = AllowanceAction::AskHere { seq, organisation: ORGANISATION, entrusted };
+    let delegation = client.delegation(ms(900), &[ME], ME);
+    let alone = AllowanceAction::AskHere { seq, organisation: ORGANISATION, delegation };
     assert_eq!(here, Some(alone));
     let refused = Decision::Exhausted { next: TIMEOUT, retry_after: TIMEOUT };
     let settled = client.answer(ms(900), ME, seq, refused);
@@ -112,7 +112,7 @@
     let mut client = client();
     let delegations = |actions: Vec<AllowanceAction>| {
         let is_delegation = |it: &AllowanceAction| {
-            matches!(it, AllowanceAction::Send(_, AllowanceMessage::Entrust(_)))
+            matches!(it, AllowanceAction::Send(_, AllowanceMessage::Delegate(_)))
         };
         actions.iter().filter(|it| is_delegation(it)).count()
     };
--- a/crates/fleet/tests/allowances_after_a_return.rs
+++ b/crates/fleet/tests/allowances_after_a_return.rs
@@ -89,7 +89,7 @@
         to: usize,
         seq: u64,
         organisation: u64,
-        entrusted: &Entrusted,
+        delegation: &Entrusted,
     ) -> Decision {
         let (now, from) = (Time(self.now), NodeId(from));
         match self.now {
@@ -97,7 +97,7 @@
             it => {
                 let is_settled = it >= SETTLED_AFTER;
                 let phase = if is_settled { OwnerPhase::Settled } else { OwnerPhase::Settling };
-                self.nodes[to].1.ask(now, from, seq, bucket(organisation), entrusted, phase)
+                self.nodes[to].1.ask(now, from, seq, bucket(organisation), delegation, phase)
             }
         }
     }
@@ -109,9 +109,9 @@
     fn act(&mut self, i: usize, action: AllowanceAction) {
         let now = Time(self.now);
         match action {
-            AllowanceAction::AskHere { seq, organisation, entrusted } => {
+            AllowanceAction::AskHere { seq, organisation, delegation } => {
                 let me = NodeId(i as u64);
-                let decision = self.decide(i as u64, i, seq, organisation, &entrusted);
+                let decision = self.decide(i as u64, i, seq, organisation, &delegation);
                 let action = self.nodes[i].0.answer(now, me, seq, decision);
                 action.into_iter().for_each(|it| self.act(i, it));
             }
@@ -145,12 +145,12 @@
                 let action = self.nodes[to].0.answer(now, NodeId(from), seq, decision);
                 action.into_iter().for_each(|it| self.act(to, it));
             }
-            AllowanceMessage::Entrust(_) if self.is_discovering() => {}
-            AllowanceMessage::Ask { seq, organisation, entrusted } => {
-                let decision = self.decide(from, to, seq, organisation, &entrusted);
+            AllowanceMessage::Delegate(_) if self.is_discovering() => {}
+            AllowanceMessage::Ask { seq, organisation, delegation } => {
+                let decision = self.decide(from, to, seq, organisation, &delegation);
                 self.send(to as u64, from, AllowanceMessage::Answer { seq, decision });
             }
-            AllowanceMessage::Entrust(it) => {
+            AllowanceMessage::Delegate(it) => {
                 self.nodes[to].1.buckets.entrust(now, NodeId(from), &it);
             }
         }
@@ -161,9 +161,9 @@
         self.nodes[i].1.buckets.set_nodes(now, NODES as usize);
         if !self.is_discovering() {
             let (client, owner) = &mut self.nodes[i];
-            client.know_fleet(now, &owners);
-            let entrusted = client.entrusted(now, &owners, NodeId(i as u64));
-            owner.buckets.entrust(now, NodeId(i as u64), &entrusted);
+            client.fleet_discovered(now, &owners);
+            let delegation = client.delegation(now, &owners, NodeId(i as u64));
+            owner.buckets.entrust(now, NodeId(i as u64), &delegation);
         }
         let actions = self.nodes[i].0.tick(now, &owners);
         actions.into_iter().for_each(|it| self.act(i, it));
