--- a/crates/dappleway/src/control/peer_slots.rs
+++ b/crates/dappleway/src/control/peer_slots.rs
@@ -58,7 +58,7 @@
                     &Noticed { by: from.0, endpoint, started_ms, notice },
                 );
             }
-            PermitMessage::Ran { service, request, end, elapsed } => {
+            PermitMessage::RunEnded { service, request, end, elapsed } => {
                 self.services.ran(now, service, Ran { request, end, elapsed });
             }
             PermitMessage::UnservedElsewhere { service, requests, refused } => {
--- a/crates/dappleway/src/control/suspects.rs
+++ b/crates/dappleway/src/control/suspects.rs
@@ -31,7 +31,7 @@
             // Who granted the slot learns of it when the slot goes back.
             let grantor = (service == open.service).then_some(open.place);
             for node in next.into_iter().filter(|it| grantor != Some(Place::Peer(*it))) {
-                let message = PermitMessage::Ran { service, request, end, elapsed };
+                let message = PermitMessage::RunEnded { service, request, end, elapsed };
                 self.send_to(now, node, message);
             }
             let Some(state) = self.services.get_mut(service) else { continue };
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -235,7 +235,7 @@
     },
     /// Reports the end of a request that is evidence for or against the suspicion that the request
     /// crashes endpoints. Receivers are the nodes that may hand out slots for the request.
-    Ran {
+    RunEnded {
         /// Hash of the service's name.
         service: u64,
         /// The request.
