--- a/crates/dappleway/src/control/metrics.rs
+++ b/crates/dappleway/src/control/metrics.rs
@@ -271,7 +271,8 @@
         it.registry_revision.set(versions.registry.revision as i64);
         it.config_age.set(now.since(self.in_force_since).as_secs_f64());
         it.config_behind.set(self.exchange.reader_election().behind_for(now).as_secs_f64());
-        it.platform_age.set(self.exchange.reader_election().age(now).as_secs_f64());
+        it.platform_age
+            .set(self.exchange.reader_election().time_since_confirmation(now).as_secs_f64());
         it.nodes.set(self.exchange.members().len() as i64 + 1);
     }
 }
--- a/crates/dappleway/src/control/publications.rs
+++ b/crates/dappleway/src/control/publications.rs
@@ -105,7 +105,7 @@
         let version = document.version;
         let services = config.services.len();
         let duty = self.exchange.reader_election();
-        let (behind, proof_age) = (duty.behind_for(now), duty.age(now));
+        let (behind, proof_age) = (duty.behind_for(now), duty.time_since_confirmation(now));
         self.rejected = None;
         self.unreadable = None;
         self.in_force_since = now;
--- a/crates/dappleway/src/control/timers.rs
+++ b/crates/dappleway/src/control/timers.rs
@@ -133,7 +133,7 @@
             "config" => self.exchange.replica().versions().config,
             "known_to_exist" => self.exchange.newest_known().config,
             "behind_ms" => behind.as_millis() as u64,
-            "proof_age_ms" => duty.age(now).as_millis() as u64, "reads" => ?duty.reads(now),
+            "proof_age_ms" => duty.time_since_confirmation(now).as_millis() as u64, "reads" => ?duty.reads(now),
             "is_fetching" => self.exchange.is_fetching());
     }
 
@@ -253,7 +253,7 @@
             if is_news {
                 info!(self.log, "duty to read the platform"; "reads" => ?reads,
                     "why" => self.exchange.reader_election().why(now), "known" => %known,
-                    "proof_age_ms" => self.exchange.reader_election().age(now).as_millis() as u64,
+                    "proof_age_ms" => self.exchange.reader_election().time_since_confirmation(now).as_millis() as u64,
                     "calls" => self.platform_calls);
             }
             is_news
--- a/crates/fleet/src/reader_election.rs
+++ b/crates/fleet/src/reader_election.rs
@@ -212,7 +212,7 @@
     }
 
     /// Time since the last freshness confirmation, or since the start if there was none.
-    pub fn age(&self, now: Time) -> Duration {
+    pub fn time_since_confirmation(&self, now: Time) -> Duration {
         now.since(self.last_confirmed.unwrap_or(Time(0)))
     }
 
