--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -63,7 +63,7 @@
 }
 
 async fn control(urgent: mpsc::UnboundedSender<Event>) -> Control {
-    let keys = Keys { current: Key::new(b"k"), also: None };
+    let keys = Keys { current: Key::new(b"k"), also_accepted: None };
     let edge = Transport::bind(([127, 0, 0, 1], 0).into(), keys.clone()).await.unwrap();
     let addr: SocketAddr = edge.addr().unwrap();
     let me = Identity { addr, failure_domain: 1, incarnation: 1, capacity: Default::default() };
--- a/crates/dappleway/src/settings/secrets.rs
+++ b/crates/dappleway/src/settings/secrets.rs
@@ -21,7 +21,7 @@
             Some(path) => Some(read_key("fleet.also_accept_key_file", path)?),
             None => None,
         };
-        Ok(fleet::Keys { current, also })
+        Ok(fleet::Keys { current, also_accepted: also })
     }
 
     /// The token of the API, read from its file.
--- a/crates/fleet/src/tests/delivery.rs
+++ b/crates/fleet/src/tests/delivery.rs
@@ -74,7 +74,7 @@
 /// Every repeated frame and its acknowledgement fit into a datagram, even with the largest numbers.
 #[test]
 fn repeated_frames_fit_datagrams() {
-    let keys = Keys { current: Key::new(b"k"), also: None };
+    let keys = Keys { current: Key::new(b"k"), also_accepted: None };
     let mut delivery = Delivery::new(u32::MAX);
     for seq in 0..300 {
         delivery.send(ms(0), RECEIVER, message(u64::MAX - seq)).unwrap();
--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -25,7 +25,7 @@
 const LAST: Position = Position { era: u32::MAX, revision: u64::MAX };
 
 fn keys(text: &str) -> Keys {
-    Keys { current: Key::new(text.as_bytes()), also: None }
+    Keys { current: Key::new(text.as_bytes()), also_accepted: None }
 }
 
 fn frame(message: Message) -> Frame {
@@ -170,7 +170,7 @@
 #[test]
 fn while_the_key_is_replaced_both_are_accepted() {
     let buf = gossip().encode(&keys("old")).unwrap();
-    let both = Keys { current: Key::new(b"new"), also: Some(Key::new(b"old")) };
+    let both = Keys { current: Key::new(b"new"), also_accepted: Some(Key::new(b"old")) };
     assert_eq!(Frame::decode(&buf, &both), Ok(gossip()));
 }
 
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -57,7 +57,7 @@
     /// Signs frames and is accepted.
     pub current: Key,
     /// Is accepted, but does not sign.
-    pub also: Option<Key>,
+    pub also_accepted: Option<Key>,
 }
 
 impl Keys {
@@ -70,7 +70,7 @@
     pub(crate) fn verify(&self, tag: &[u8], body: &[u8]) -> bool {
         let is_signed_by =
             |key: &Key| equal_in_constant_time(&key.tag(body).as_bytes()[..TAG_BYTES], tag);
-        is_signed_by(&self.current) || self.also.as_ref().is_some_and(is_signed_by)
+        is_signed_by(&self.current) || self.also_accepted.as_ref().is_some_and(is_signed_by)
     }
 }
 
--- a/crates/fleet/tests/fetch.rs
+++ b/crates/fleet/tests/fetch.rs
@@ -25,7 +25,7 @@
 }
 
 fn keys() -> Keys {
-    Keys { current: Key::new(b"k"), also: None }
+    Keys { current: Key::new(b"k"), also_accepted: None }
 }
 
 fn bundle() -> Bundle {
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -108,7 +108,7 @@
             platform: Platform::default(),
             loss,
             rng,
-            keys: Keys { current: Key::new(b"k"), also: None },
+            keys: Keys { current: Key::new(b"k"), also_accepted: None },
         }
     }
 
