--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -86,20 +86,22 @@
 pub struct Exchange {
     me: Identity,
     id: NodeId,
+    /// Sequence number of the state of this node; see `NodeInfo::version`.
     version: u32,
     phase: Phase,
     members: Members,
     replica: Replica,
-    duty: ReaderElection,
+    reader_election: ReaderElection,
     seeds: Vec<SocketAddr>,
     verdicts: FxHashMap<SocketAddr, (Verdict, Time)>,
     rejections: Rejections,
     started_at: Time,
     /// When a node was last discovered.
     last_discovery: Time,
-    /// One of the discovered nodes was ready at that time.
+    /// Some node was already ready when this node discovered it.
     discovered_ready: bool,
     next_round: Time,
+    /// Bytes that gossip rounds may still use; negative while the budget is exceeded.
     budget: f64,
     last_refill: Time,
     /// A fetch is in progress; there is never a second one beside it.
@@ -133,7 +135,7 @@
             phase: Phase::Starting,
             members: Members::default(),
             replica: Replica::default(),
-            duty: ReaderElection::starting(rank, now, rng.random()),
+            reader_election: ReaderElection::starting(rank, now, rng.random()),
             seeds: seeds.iter().copied().filter(|it| *it != me.addr).collect(),
             verdicts: FxHashMap::default(),
             rejections: Rejections::default(),
@@ -196,7 +198,7 @@
 
     /// The state of the reader election.
     pub fn reader_election(&self) -> &ReaderElection {
-        &self.duty
+        &self.reader_election
     }
 
     /// The newest versions known to exist, here or elsewhere.
@@ -267,8 +269,8 @@
 
     /// Whether rounds are frequent because this node is still discovering others.
     pub fn is_discovering(&self, now: Time) -> bool {
-        let is_new = now.since(self.started_at) < RECENTLY_STARTED_FOR;
-        is_new && now.since(self.last_discovery) < DISCOVERY_QUIET_TIME
+        let is_recently_started = now.since(self.started_at) < RECENTLY_STARTED_FOR;
+        is_recently_started && now.since(self.last_discovery) < DISCOVERY_QUIET_TIME
     }
 
     /// Runs the timers: registry expiry, reader announcements and gossip rounds.
@@ -277,7 +279,7 @@
         if self.replica.tick(now) {
             effects.push(Effect::EndpointsChanged);
         }
-        if self.duty.announcement_is_due(now) {
+        if self.reader_election.announcement_is_due(now) {
             effects.extend(self.announce_changes(
                 now,
                 Position::START,
@@ -322,7 +324,7 @@
         for it in verdicts {
             let until = now + Duration::from_millis(it.valid_ms.into());
             let known = self.verdicts.get(&it.endpoint);
-            if known.is_none_or(|(_, end)| until > *end + VERDICT_SLACK) {
+            if known.is_none_or(|(_, known)| until > *known + VERDICT_SLACK) {
                 self.verdicts.insert(it.endpoint, (*it, until));
                 effects.push(Effect::Verdict(*it));
             }
--- a/crates/fleet/src/exchange/rounds.rs
+++ b/crates/fleet/src/exchange/rounds.rs
@@ -28,6 +28,7 @@
 const BUDGET: f64 = 5_000.0;
 
 impl Exchange {
+    /// Runs one gossip round; returns nothing while the byte budget is exceeded.
     pub(super) fn round(&mut self, now: Time, rng: &mut impl Rng) -> Option<Effect> {
         let is_recently_started = now.since(self.started_at) < RECENTLY_STARTED_FOR;
         let interval = match is_recently_started {
@@ -39,7 +40,7 @@
         self.verdicts.retain(|_, (_, until)| now < *until);
         self.rejections.expire(now);
         self.members.expire(now, FORGET_AFTER);
-        self.update_nodes_before();
+        self.update_better_ranked();
         self.refill(now);
         if self.budget < 0.0 {
             self.delayed += 1;
@@ -51,7 +52,7 @@
 
     /// Updates the number of nodes with a better rank. A node without a copy keeps its initial
     /// back-off instead.
-    fn update_nodes_before(&mut self) {
+    fn update_better_ranked(&mut self) {
         if !self.replica.versions().registry.is_known() {
             return;
         }
@@ -60,7 +61,8 @@
             it.info.failure_domain == self.me.failure_domain && it.info.phase != Phase::Leaving
         });
         let rank = |(node, it): (_, &Member)| Rank { link_mbps: it.info.capacity.link_mbps, node };
-        self.duty.set_nodes_before(domain_members.map(rank).filter(|it| it.precedes(me)).count());
+        self.reader_election
+            .set_better_ranked(domain_members.map(rank).filter(|it| it.precedes(me)).count());
     }
 
     pub(super) fn gossip(&mut self, now: Time, wants_reply: bool, rng: &mut impl Rng) -> Gossip {
@@ -81,8 +83,9 @@
         is_recently_started: bool,
         rng: &mut impl Rng,
     ) -> Option<SocketAddr> {
-        let any_domain =
-            is_recently_started || !self.duty.is_fresh(now) || rng.random_ratio(1, FAR_ROUND);
+        let any_domain = is_recently_started
+            || !self.reader_election.is_fresh(now)
+            || rng.random_ratio(1, FAR_ROUND);
         let own = self.me.failure_domain;
         let members =
             self.members.iter().filter(|(_, it)| any_domain || it.info.failure_domain == own);
--- a/crates/fleet/src/exchange/updates.rs
+++ b/crates/fleet/src/exchange/updates.rs
@@ -25,7 +25,7 @@
     /// Applies what this node has read from the platform, and forwards the changes to its failure
     /// domain.
     pub fn platform_read(&mut self, now: Time, mut published: Published) -> Vec<Effect> {
-        self.duty.platform_answered(now);
+        self.reader_election.platform_answered(now);
         let before = self.replica.versions();
         // A read follows the previous read of this node without a gap.
         published.after = published.after.map(|_| before.registry);
@@ -41,10 +41,10 @@
             None => self.is_unreadable || published.unreadable.is_some(),
         };
         if !self.is_unreadable {
-            self.duty.confirm(now);
+            self.reader_election.confirm(now);
         }
         let has_changes = !published.endpoints.is_empty() || before.config > self.announced_version;
-        if has_changes && self.duty.reads(now) == Reads::Everything {
+        if has_changes && self.reader_election.reads(now) == Reads::Everything {
             let changes = match published.after {
                 Some(_) => published.endpoints,
                 // A full list is reduced to its new entries, where the replica knows them.
@@ -60,7 +60,7 @@
 
     /// Records that the platform did not answer, and lets other nodes take over at once.
     pub fn read_failed(&mut self) -> Vec<Effect> {
-        if !self.duty.platform_failed() {
+        if !self.reader_election.platform_failed() {
             return Vec::new();
         }
         self.send_to_own_domain(Message::PlatformUpdate(self.empty_update(LastAnswer::Lost)))
@@ -71,7 +71,7 @@
         // An answer of the platform takes precedence over reports of peers.
         self.newest_reported.config = self.replica.versions().config;
         self.is_unreadable = false;
-        self.duty.confirm(now);
+        self.reader_election.confirm(now);
         self.update_missing(now);
     }
 
@@ -85,7 +85,7 @@
         self.is_fetching = false;
         self.last_fetch_unreached = false;
         if !self.replica.versions().registry.is_known() {
-            self.duty.record_first_copy(now);
+            self.reader_election.record_first_copy(now);
         }
         let mut effects = self.record_nodes(now, members);
         if self.replica.update(now, published) {
@@ -100,7 +100,7 @@
         self.is_fetching = false;
         self.last_fetch_unreached = failure == FetchFailure::Lost;
         if failure == FetchFailure::Busy {
-            self.duty.fetch_refused();
+            self.reader_election.fetch_refused();
         }
     }
 
@@ -122,6 +122,7 @@
         (bundle, effects)
     }
 
+    /// Applies the announcement of a reader.
     pub(super) fn receive_update(
         &mut self,
         now: Time,
@@ -156,7 +157,7 @@
         self.update_missing(now);
         let from = Rank { link_mbps: update.sender.capacity.link_mbps, node: from };
         let status = self.reader_status(now, update.last_answer, update.versions.config);
-        self.duty.receive_status(now, from, status);
+        self.reader_election.receive_status(now, from, status);
         effects
     }
 
@@ -218,7 +219,8 @@
 
     /// The last answer of the platform to this node.
     fn last_answer(&self, now: Time) -> LastAnswer {
-        let age_ms = self.duty.since_own_answer(now).as_millis().try_into().unwrap_or(u32::MAX);
+        let age_ms =
+            self.reader_election.since_own_answer(now).as_millis().try_into().unwrap_or(u32::MAX);
         match self.is_unreadable {
             true => LastAnswer::Unreadable { age_ms },
             false => LastAnswer::Read { age_ms },
@@ -242,7 +244,7 @@
     /// or read the platform too.
     pub(super) fn record_nodes(&mut self, now: Time, mut nodes: Vec<NodeInfo>) -> Vec<Effect> {
         nodes.retain(|it| self.record_node(now, *it));
-        if !self.duty.may_announce(now) {
+        if !self.reader_election.may_announce(now) {
             return Vec::new();
         }
         let own = self.me.failure_domain;
@@ -269,7 +271,7 @@
         rng: &mut impl Rng,
     ) -> Option<Effect> {
         let mine = self.replica.versions();
-        let is_stale = !self.duty.is_fresh(now);
+        let is_stale = !self.reader_election.is_fresh(now);
         let is_newer =
             |it: &Versions| it.config > mine.config || is_stale && it.registry > mine.registry;
         let newer: Vec<NodeInfo> = self
@@ -305,11 +307,11 @@
     fn update_missing(&mut self, now: Time) {
         let mine = self.replica.versions();
         if let Some((_, at)) = self.unconfirmed.take_if(|(version, _)| *version <= mine.config) {
-            self.duty.confirm(at);
+            self.reader_election.confirm(at);
         }
         let config = self.newest_reported.config > mine.config;
         let registry = self.newest_reported.registry > mine.registry;
-        self.duty.set_missing(now, Missing { config, registry });
+        self.reader_election.set_missing(now, Missing { config, registry });
     }
 
     fn is_behind(&self, versions: Versions) -> bool {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
 //! The other entry VMs of the fleet: their identities, the versions that they hold, and the
 //! exchange with them.
 //!
-//! The state machines are free of I/O; `transport` and `fetch` are the thin socket layers. This crate
-//! must not depend on HTTP, on requests of callers, or on the meaning of a configuration.
+//! The state machines are free of I/O; `transport` and `fetch` are the thin socket layers. This
+//! crate must not depend on HTTP, on requests of callers, or on the meaning of a configuration.
 
 mod allowances;
 mod backlog;
--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -109,8 +109,8 @@
     /// End and length of the time during which a node is passed over.
     passed_over: FxHashMap<NodeId, (Time, Duration)>,
     /// For each service, the place that holds this node's share of the fixed repeat budget, and
-    /// when that place was last asked. Sent along with every ask, the share of one node was spent
-    /// by every dispatching node asked within the window when frames were lost.
+    /// when that place was last asked. When every ask carried the share and frames were lost, each
+    /// dispatching node asked within the window spent it.
     budget_places: FxHashMap<u64, (Place, Time)>,
     /// Recently granted requests, and the place that granted them.
     granted: FxHashMap<PermitId, (Place, Time)>,
@@ -118,7 +118,7 @@
     /// Window of the repeat budget.
     window: Duration,
     /// Reachability changes since the last call of `take_reachability_changes`.
-    contacts: Vec<ReachabilityChange>,
+    reachability_changes: Vec<ReachabilityChange>,
     /// Number of asks that got no answer.
     pub timeouts: u64,
     /// Number of slots picked locally because no node answered.
@@ -137,7 +137,7 @@
             granted: FxHashMap::default(),
             next_forget: Time(0),
             window,
-            contacts: Vec::new(),
+            reachability_changes: Vec::new(),
             timeouts: 0,
             direct: 0,
         }
@@ -180,7 +180,7 @@
         if let Place::Peer(node) = place
             && self.passed_over.remove(&node).is_some()
         {
-            self.contacts.push(ReachabilityChange::Regained(node));
+            self.reachability_changes.push(ReachabilityChange::Regained(node));
         }
         let Some(pending) = self.pending.get_mut(&id).filter(|it| it.place == place) else {
             return self.release_unwanted(place, id, &reply);
@@ -196,7 +196,7 @@
                 pending.failed_places += 1;
                 if let Place::Peer(node) = place {
                     self.passed_over.insert(node, (now + PASS_OVER_TIME, PASS_OVER_TIME));
-                    self.contacts.push(ReachabilityChange::Lost(node));
+                    self.reachability_changes.push(ReachabilityChange::Lost(node));
                 }
                 Some(self.ask(now, id, directory))
             }
@@ -222,7 +222,7 @@
 
     /// Returns the dispatching nodes that were lost or regained since the last call.
     pub fn take_reachability_changes(&mut self) -> Vec<ReachabilityChange> {
-        std::mem::take(&mut self.contacts)
+        std::mem::take(&mut self.reachability_changes)
     }
 
     /// Withdraws a request. A grant that still arrives is given back.
@@ -282,7 +282,7 @@
     pub fn pass_over(&mut self, now: Time, node: NodeId) {
         let previous = self.passed_over.get(&node).map(|(_, length)| *length);
         if previous.is_none() {
-            self.contacts.push(ReachabilityChange::Lost(node));
+            self.reachability_changes.push(ReachabilityChange::Lost(node));
         }
         let length = previous.map_or(PASS_OVER_TIME, |it| (it * 2).min(MAX_PASS_OVER_TIME));
         self.passed_over.insert(node, (now + length, length));
--- a/crates/fleet/src/reader_election.rs
+++ b/crates/fleet/src/reader_election.rs
@@ -1,5 +1,5 @@
 //! Reader election: decides which nodes read the platform. Each failure domain has one reader; its
-//! other nodes take over when they receive no reader status any more.
+//! other nodes take over when the reader falls silent or gets no answers from the platform.
 //!
 //! There is no vote. A reader announces itself to the nodes of its failure domain, and every node
 //! reads unless it receives announcements of a node with a better rank. Two concurrent readers only
@@ -69,7 +69,7 @@
     NoAnswer,
     /// At this time the platform had nothing newer than the local copy.
     Confirmed(Time),
-    /// The platform answered_at at this time, with something that is not known locally or cannot be
+    /// The platform answered at this time, with something that is not known locally or cannot be
     /// read.
     Unconfirmed(Time),
 }
@@ -94,6 +94,7 @@
 }
 
 impl Rank {
+    /// Whether this node reads in preference to `other`.
     pub(crate) fn precedes(self, other: Self) -> bool {
         (other.link_mbps, self.node) < (self.link_mbps, other.node)
     }
@@ -103,7 +104,7 @@
 #[derive(Clone, Debug)]
 pub struct ReaderElection {
     me: Rank,
-    /// The reader that this node relies on, and when the platform last answered_at that reader.
+    /// The reader that this node relies on, and when the platform last answered that reader.
     reader: Option<(Rank, Time)>,
     /// Since when a newer configuration is known to exist.
     missing_config_since: Option<Time>,
@@ -159,7 +160,7 @@
     }
 
     /// Sets the number of nodes in the failure domain that have a better rank.
-    pub(crate) fn set_nodes_before(&mut self, nodes: usize) {
+    pub(crate) fn set_better_ranked(&mut self, nodes: usize) {
         self.backoff = MAX_BACKOFF.min(BACKOFF_STEP * nodes as u32);
     }
 
--- a/crates/fleet/src/tests/reader_election.rs
+++ b/crates/fleet/src/tests/reader_election.rs
@@ -189,13 +189,13 @@
 fn nodes_take_over_by_rank() {
     let takes_over_after = |preceding| {
         let mut election = ReaderElection::new(ME);
-        election.set_nodes_before(preceding);
+        election.set_better_ranked(preceding);
         election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
         (0..2_000).find(|ms| election.reads(at(*ms)) == Reads::Everything).unwrap()
     };
     assert_eq!([0, 1, 3, 100].map(takes_over_after), [1_201, 1_251, 1_351, 1_601]);
     let mut election = ReaderElection::new(ME);
-    election.set_nodes_before(2);
+    election.set_better_ranked(2);
     election.receive_status(at(0), FIRST, ReaderStatus::Confirmed(at(0)));
     election.receive_status(at(100), FIRST, ReaderStatus::NoAnswer);
     assert_eq!(election.reads(at(199)), Reads::Nothing);
@@ -206,7 +206,7 @@
 fn a_node_that_got_its_first_copy_from_a_peer_leaves_time_for_announcements() {
     let mut election = ReaderElection::starting(ME, at(0), 0.0);
     election.record_first_copy(at(300));
-    election.set_nodes_before(0);
+    election.set_better_ranked(0);
     assert_eq!(election.reads(at(1_000)), Reads::Nothing);
     assert_eq!(election.reads(at(1_100)), Reads::Everything);
 }
