--- a/crates/fleet/src/allowances/client.rs
+++ b/crates/fleet/src/allowances/client.rs
@@ -61,7 +61,7 @@
     silent_owners: u32,
 }
 
-/// An exhausted bucket: until then asking is without success.
+/// An exhausted bucket, which grants nothing before `until`.
 #[derive(Clone, Copy, Debug)]
 struct Exhausted {
     until: Time,
--- a/crates/fleet/tests/answers_that_travel.rs
+++ b/crates/fleet/tests/answers_that_travel.rs
@@ -9,7 +9,7 @@
 
 mod virtual_fleet;
 
-use virtual_fleet::{Fleet, MS, NO_FAULTS, RUN_LENGTH, Release, Scenario, check};
+use virtual_fleet::{BASE_SCENARIO, Fleet, MS, RUN_LENGTH, Release, Scenario, check};
 
 /// Half of the capacity of 25 endpoints with two slots and 0.21 s of work, with answers of 90 KB,
 /// some of 540 KB, on links of 10 Mbit/s that carry other answers for a quarter of the time.
@@ -23,7 +23,7 @@
     long_answers: 0.05,
     fails_from: RUN_LENGTH,
     requests_until: RUN_LENGTH - 5_000 * MS,
-    ..NO_FAULTS
+    ..BASE_SCENARIO
 };
 
 #[test]
--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod virtual_fleet;
 
 use policy::Notice;
-use virtual_fleet::{Fleet, MS, NO_FAULTS, RUN_LENGTH, Scenario, SentNotice};
+use virtual_fleet::{BASE_SCENARIO, Fleet, MS, RUN_LENGTH, Scenario, SentNotice};
 
 /// A node that has received the announcement sends nothing after this time.
 const BOUND: u64 = 2_000 * MS;
@@ -12,7 +12,7 @@
 fn leaving() -> Scenario {
     let notice =
         SentNotice { endpoints: 4, notice: Notice::Leaving, from: FROM, until: RUN_LENGTH };
-    Scenario { fails_from: RUN_LENGTH, notice: Some(notice), ..NO_FAULTS }
+    Scenario { fails_from: RUN_LENGTH, notice: Some(notice), ..BASE_SCENARIO }
 }
 
 #[track_caller]
--- a/crates/fleet/tests/lost_frames.rs
+++ b/crates/fleet/tests/lost_frames.rs
@@ -9,7 +9,7 @@
 
 mod virtual_fleet;
 
-use virtual_fleet::{MS, NO_FAULTS, RUN_LENGTH, Scenario, check};
+use virtual_fleet::{BASE_SCENARIO, MS, RUN_LENGTH, Scenario, check};
 
 /// A third of the capacity of 13 endpoints with three slots and 0.3 s of work.
 const A_THIRD_OF_THE_LOAD: Scenario = Scenario {
@@ -20,7 +20,7 @@
     fails_from: RUN_LENGTH,
     // Leaves time for all pending requests to end.
     requests_until: RUN_LENGTH - 5_000 * MS,
-    ..NO_FAULTS
+    ..BASE_SCENARIO
 };
 
 /// 90 KB on a link of 10 Mbit/s.
--- a/crates/fleet/tests/rate_limits.rs
+++ b/crates/fleet/tests/rate_limits.rs
@@ -3,14 +3,14 @@
 mod virtual_fleet;
 
 use policy::{Notice, RateLimit};
-use virtual_fleet::{Arrival, Fleet, MS, NO_FAULTS, RUN_LENGTH, Scenario, SentNotice};
+use virtual_fleet::{BASE_SCENARIO, Fleet, MS, RUN_LENGTH, Scenario, SendRecord, SentNotice};
 
 /// Sends are counted over this time.
 const WINDOW: u64 = 4_000 * MS;
 /// Time for the fleet to receive a limit.
 const PROPAGATION_TIME: u64 = 3_000 * MS;
 /// A node that received the limit a moment ago may still have a send in progress.
-const UNDER_WAY: u64 = 500 * MS;
+const IN_PROGRESS: u64 = 500 * MS;
 /// Tolerated sends in a window beyond one and a half times the limit.
 const SLACK: f64 = 5.0;
 
@@ -23,7 +23,7 @@
 fn limited(endpoints: usize, per_s: f64) -> Scenario {
     let notice = Notice::RateLimit(RateLimit::from_per_second(per_s));
     let notice = SentNotice { endpoints, notice, from: FROM, until: UNTIL };
-    Scenario { fails_from: RUN_LENGTH, notice: Some(notice), ..NO_FAULTS }
+    Scenario { fails_from: RUN_LENGTH, notice: Some(notice), ..BASE_SCENARIO }
 }
 
 /// A few endpoints that advertise a limit.
@@ -32,9 +32,9 @@
 }
 
 /// Largest number of sends in a window to one endpoint, from nodes that knew its limit.
-fn most_in_a_window(sends: &[Arrival], endpoint: usize) -> usize {
-    let counts = |it: &&Arrival| {
-        let is_known = it.known_for.is_some_and(|it| it >= UNDER_WAY);
+fn most_in_a_window(sends: &[SendRecord], endpoint: usize) -> usize {
+    let counts = |it: &&SendRecord| {
+        let is_known = it.known_for.is_some_and(|it| it >= IN_PROGRESS);
         it.endpoint == endpoint && it.at >= FROM + PROPAGATION_TIME && is_known
     };
     let times: Vec<u64> = sends.iter().filter(counts).map(|it| it.at).collect();
@@ -93,5 +93,5 @@
 
 #[test]
 fn no_rate_limit_is_exceeded_while_all_endpoints_advertise_one() {
-    check(PER_S, limited(NO_FAULTS.endpoints.into(), PER_S));
+    check(PER_S, limited(BASE_SCENARIO.endpoints.into(), PER_S));
 }
--- a/crates/fleet/tests/repeats.rs
+++ b/crates/fleet/tests/repeats.rs
@@ -19,7 +19,7 @@
 
 use std::collections::VecDeque;
 
-use virtual_fleet::{Fleet, LIMITS, MS, NO_FAULTS, RUN_LENGTH, Scenario};
+use virtual_fleet::{BASE_SCENARIO, Fleet, LIMITS, MS, RUN_LENGTH, Scenario};
 
 /// Repeats in a window, the allowed number, and the end of the window.
 type Window = (usize, f64, u64);
@@ -34,7 +34,7 @@
         // The largest number of first sends in the window, half a window earlier or a whole window
         // earlier.
         let before = [end, end.saturating_sub(window / 2), end.saturating_sub(window)];
-        let first = before.map(|it| count(&fleet.first, it)).into_iter().max().unwrap_or(0);
+        let first = before.map(|it| count(&fleet.first_sends, it)).into_iter().max().unwrap_or(0);
         (count(&fleet.repeats, end), first as f64 * LIMITS.ratio + LIMITS.extra, end)
     };
     let windows: Vec<Window> = (1..=RUN_LENGTH / (250 * MS)).map(|i| at(i * 250 * MS)).collect();
@@ -61,13 +61,13 @@
 
 #[test]
 fn repeats_are_bounded_while_dispatching_nodes_answer_in_time() {
-    check(NO_FAULTS);
+    check(BASE_SCENARIO);
 }
 
 #[test]
 fn repeats_are_bounded_while_asks_go_from_one_node_to_the_next() {
     for rate in [0.5, 3.0, 15.0] {
-        check(Scenario { rate, late: 0.6, ..NO_FAULTS });
+        check(Scenario { rate, late: 0.6, ..BASE_SCENARIO });
     }
 }
 
@@ -75,14 +75,14 @@
 fn repeats_are_bounded_while_frames_are_lost() {
     for rate in [0.5, 1.0, 3.0] {
         for lost in [0.2, 0.4] {
-            check(Scenario { rate, lost, ..NO_FAULTS });
+            check(Scenario { rate, lost, ..BASE_SCENARIO });
         }
     }
 }
 
 #[test]
 fn repeats_are_bounded_while_first_sends_reach_no_endpoint() {
-    check(Scenario { unreached: 0.3, ..NO_FAULTS });
+    check(Scenario { unreached: 0.3, ..BASE_SCENARIO });
 }
 
 #[test]
@@ -90,7 +90,7 @@
     for after in [1, 2, 3, 5] {
         let fails_from = 20_000 * MS;
         let cut_off_at = Some(fails_from + after * 1_000 * MS);
-        check(Scenario { fails_from, cut_off_at, ..NO_FAULTS });
+        check(Scenario { fails_from, cut_off_at, ..BASE_SCENARIO });
     }
 }
 
@@ -99,6 +99,6 @@
     for times in [1, 2, 4] {
         let fails_from = 20_000 * MS;
         let restarts_from = Some((fails_from + 2_000 * MS, times));
-        check(Scenario { fails_from, restarts_from, ..NO_FAULTS });
+        check(Scenario { fails_from, restarts_from, ..BASE_SCENARIO });
     }
 }
--- a/crates/fleet/tests/rests.rs
+++ b/crates/fleet/tests/rests.rs
@@ -5,16 +5,17 @@
 use std::time::Duration;
 
 use policy::Notice;
-use virtual_fleet::{Fleet, MS, NO_FAULTS, RUN_LENGTH, Scenario, SentNotice};
+use virtual_fleet::{BASE_SCENARIO, Fleet, MS, RUN_LENGTH, Scenario, SentNotice};
 
 const BACKOFF: Duration = Duration::from_secs(3);
-/// A request may be in progress, and two more may follow before the back-off ends.
-const UNDER_WAY: u64 = 500 * MS;
+/// A request may still be in progress for this long after the back-off was requested.
+const IN_PROGRESS: u64 = 500 * MS;
+/// Tolerated sends before the back-off ends.
 const MAX_SENDS_DURING_BACKOFF: usize = 2;
 const FROM: u64 = 10_000 * MS;
 const UNTIL: u64 = 20_000 * MS;
 
-/// A third of the endpoints turn all requests away for ten seconds; the service has enough slots.
+/// A third of the endpoints turn all requests away for ten seconds; the others have enough slots.
 fn back_off_scenario() -> Scenario {
     let notice =
         SentNotice { endpoints: 5, notice: Notice::Rest(BACKOFF), from: FROM, until: UNTIL };
@@ -25,7 +26,7 @@
         requests_until: RUN_LENGTH - 5_000 * MS,
         fails_from: RUN_LENGTH,
         notice: Some(notice),
-        ..NO_FAULTS
+        ..BASE_SCENARIO
     }
 }
 
@@ -36,8 +37,8 @@
         fleet.run();
         assert!(!fleet.backoff_requests.is_empty(), "no node was asked to back off");
         for (at, node, endpoint) in &fleet.backoff_requests {
-            let backoff = at + UNDER_WAY..at + BACKOFF.as_micros() as u64;
-            let in_backoff = |it: &&virtual_fleet::Arrival| {
+            let backoff = at + IN_PROGRESS..at + BACKOFF.as_micros() as u64;
+            let in_backoff = |it: &&virtual_fleet::SendRecord| {
                 it.node == *node && it.endpoint == *endpoint && backoff.contains(&it.at)
             };
             let n = fleet.sends.iter().filter(in_backoff).count();
@@ -68,7 +69,7 @@
 fn callers_are_served_by_the_other_endpoints() {
     let mut fleet = Fleet::new(1, back_off_scenario());
     fleet.run();
-    let asked = fleet.first.len() as f64;
+    let asked = fleet.first_sends.len() as f64;
     assert!(f64::from(fleet.answered) >= 0.99 * asked, "{} of {asked}", fleet.answered);
     let turned_away = fleet.sends.len();
     assert!(turned_away <= 60, "{turned_away} sends turned away");
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -16,14 +16,17 @@
 use rand::{RngExt, SeedableRng};
 use resources::{Endpoint, Floor, Name, Priority, Service, Standing};
 
+/// Number of nodes in the fleet.
 pub const NODES: u64 = 20;
 const SERVICE: u64 = 1;
 /// Port of the first endpoint.
 const FIRST_PORT: u16 = 1_000;
+/// Limits of the repeat budget.
 pub const LIMITS: BudgetLimits =
     BudgetLimits { ratio: 0.2, extra: 40.0, window: Duration::from_secs(10) };
 /// An unanswered ask is sent to the next node after this time.
 const ASK_TIMEOUT: Duration = Duration::from_millis(40);
+/// One millisecond; all times of the simulation are in microseconds.
 pub const MS: u64 = 1_000;
 /// Duration of a run.
 pub const RUN_LENGTH: u64 = 35_000 * MS;
@@ -90,7 +93,8 @@
     Beginning,
 }
 
-pub const NO_FAULTS: Scenario = Scenario {
+/// Base of all scenarios: a reliable network and a service at which every request fails.
+pub const BASE_SCENARIO: Scenario = Scenario {
     rate: 15.0,
     endpoints: 16,
     slots: 64,
@@ -135,6 +139,7 @@
     }
 }
 
+/// Directory in which every node can dispatch.
 struct AllNodes(Vec<NodeId>);
 
 impl Directory for AllNodes {
@@ -143,7 +148,7 @@
     }
 }
 
-/// Next events, earliest first.
+/// An event of the simulation.
 enum Event {
     Request(usize),
     Restart,
@@ -178,6 +183,7 @@
 /// Length of a long answer, as a multiple of the usual length.
 const LONG_ANSWER: u64 = 6;
 
+/// An event with its time and a sequence number, which orders events of the same time.
 struct Due(u64, u64, Event);
 
 impl PartialEq for Due {
@@ -250,6 +256,7 @@
     }
 }
 
+/// The simulated fleet.
 pub struct Fleet {
     now: u64,
     nodes: Vec<Node>,
@@ -260,8 +267,9 @@
     next: u64,
     /// Number of endpoints that each request waiting for a slot has reached, by its permit.
     requests: std::collections::HashMap<PermitId, u32>,
-    /// Arrival times of requests, and times of their sends beyond the first.
-    pub first: Vec<u64>,
+    /// Arrival times of requests.
+    pub first_sends: Vec<u64>,
+    /// Times of sends beyond the first of a request.
     pub repeats: Vec<u64>,
     /// Number of answered requests.
     pub answered: u32,
@@ -272,7 +280,7 @@
     /// When each node first received a notice of an endpoint.
     first_notices: BTreeMap<(usize, usize), u64>,
     /// Sends to endpoints while these send notices.
-    pub sends: Vec<Arrival>,
+    pub sends: Vec<SendRecord>,
     /// Time, node and endpoint of each request to back off.
     pub backoff_requests: Vec<(u64, usize, usize)>,
 }
@@ -280,7 +288,7 @@
 /// A send to an endpoint that currently sends notices.
 #[derive(Clone, Copy, Debug)]
 #[allow(dead_code, reason = "not every test program uses it")]
-pub struct Arrival {
+pub struct SendRecord {
     pub at: u64,
     pub node: usize,
     pub endpoint: usize,
@@ -323,7 +331,7 @@
             rng: StdRng::seed_from_u64(seed),
             next: 0,
             requests: Default::default(),
-            first: Vec::new(),
+            first_sends: Vec::new(),
             repeats: Vec::new(),
             answered: 0,
             most_queued: 0,
@@ -415,7 +423,7 @@
         match event {
             Event::Request(_) if self.now > self.scenario.requests_until => {}
             Event::Request(i) => {
-                self.first.push(self.now);
+                self.first_sends.push(self.now);
                 self.ask_for_slot(i, 0, SendKind::First);
                 let pause = (1e6 / self.scenario.rate) as u64;
                 let pause = self.rng.random_range(pause / 2..pause * 3 / 2);
@@ -610,7 +618,7 @@
         self.nodes[i].open.insert(id, Open { place, endpoint, is_rate_limited });
         if self.current_notice(endpoint).is_some() {
             let known_for = self.first_notices.get(&(i, endpoint)).map(|at| self.now - at);
-            self.sends.push(Arrival { at: self.now, node: i, endpoint, known_for });
+            self.sends.push(SendRecord { at: self.now, node: i, endpoint, known_for });
         }
         let reached = self.requests[&id];
         if reached > 0 {
