--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: owns the exchange with other nodes, the dispatchers and the revisions, and
-//! is the only one that changes them.
+//! The control thread. It owns the exchange with other nodes, the dispatchers and the replica of the
+//! platform's data; no other thread modifies them.
 
 mod allowances;
 mod dispatch_log;
@@ -45,56 +45,60 @@
 use crate::services::{Scope, Services, name_hash, route_hash};
 use crate::settings::Mode;
 
-/// Interval of the timers while this node waits for slots.
+/// Tick interval while requests of this node wait for slots or allowances.
 const TICK: Duration = Duration::from_millis(10);
-/// Interval of the timers otherwise.
+/// Tick interval otherwise.
 const IDLE_TICK: Duration = Duration::from_millis(100);
-/// Interval at which dispatchers move in time: at the size designed for there are hundreds of them.
+/// Interval between ticks of the dispatchers. It is longer than `BUSY_TICK` because a fleet of the
+/// designed size has hundreds of dispatchers on one node.
 const DISPATCHER_TICK: Duration = Duration::from_millis(100);
-/// Interval at which readiness is told to the API.
+/// Interval at which the operator API is given the current readiness.
 const READINESS: Duration = Duration::from_millis(100);
-/// Interval at which long permits are renewed and verdicts are told again.
+/// Interval at which open permits are renewed and verdicts are sent again.
 const RENEW: Duration = Duration::from_secs(1);
-/// A tick that comes this late means that the process was paused.
+/// A gap of this length between ticks means that the process was paused.
 const PAUSE: Duration = Duration::from_millis(400);
-/// Events, and then datagrams, that are handled in one turn. News of the platform and the tasks on this thread
-/// that fetch it wait for one turn at most: with 256, and without a turn for the tasks, a node that handed out
-/// slots on a tenth of a core used an old configuration for six seconds.
+/// Maximum number of events, and then of datagrams, that one iteration of the control loop handles. Platform
+/// updates, and the tasks on this thread that fetch them, wait for at most one iteration. With a limit of 256 and
+/// no yield to those tasks, a node that handed out slots on a tenth of a core used an outdated configuration for
+/// six seconds.
 const BATCH: usize = 32;
-/// A peer's word that an endpoint is ejected is believed for this long.
+/// Maximum time for which a peer's verdict that an endpoint is ejected is applied.
 const EJECTED_VALID: Duration = Duration::from_secs(3);
-/// A node that has heard of no older one after this long takes the whole fleet for started anew.
+/// Minimum duration of the `Fresh` phase. A node that has seen no older node by then assumes that the whole
+/// fleet was restarted.
 const ALL_FRESH_AFTER: Duration = Duration::from_millis(1_500);
-/// Nodes that would dispatch next and are told of what goes wrong.
+/// Number of successors of a dispatching node that are notified of failed requests and crashes.
 const SUCCESSORS: usize = 2;
-/// Identities in one renewal, so that it fits a datagram.
+/// Maximum number of permits in one renewal message, so that the message fits a datagram.
 const IDS_PER_RENEWAL: usize = 50;
 
-/// The other ends of what the control thread writes to.
+/// Channels and shared state that the control thread writes to.
 pub struct Outputs {
-    /// The snapshot for traffic threads.
+    /// The configuration snapshot that traffic threads read.
     pub shared: Shared,
-    /// What is in force, for the API.
+    /// The resources in force, for the operator API.
     pub published: watch::Sender<InForce>,
-    /// The services with their endpoints, for the baselines.
+    /// The services with their endpoints, for the baseline dispatch modes.
     pub services: watch::Sender<Arc<Vec<Arc<Service>>>>,
-    /// Why the node is not ready, for the API.
+    /// Why the node is not ready, for the operator API; `None` if the node is ready.
     pub not_ready: watch::Sender<Option<String>>,
-    /// What this node is to read of the platform.
+    /// What the reader task of this node should read from the platform.
     pub wanted: watch::Sender<Wanted>,
 }
 
-/// A configuration that is refused.
+/// A configuration that was rejected because it is invalid.
 #[derive(Clone, Debug)]
 struct Rejected {
     version: u64,
     reason: String,
 }
 
-/// The state of the control thread.
+/// State of the control thread.
 pub struct Control {
-    /// The start of this process. Every age in the control state counts from it, suspensions included: by the steady
-    /// clock permits, credits for repeats and proofs that a copy is fresh would outlive their time by them.
+    /// The start of this process, on a clock that includes suspensions of the VM. All times of the control state
+    /// count from here. With a monotonic clock that stops during a suspension, permits, repeat credits and
+    /// freshness confirmations would stay valid too long by the length of the suspension.
     clock: Moment,
     me: Reporter,
     node_addr: SocketAddr,
@@ -104,60 +108,63 @@
     edge: Edge,
     keys: Keys,
     client: Client,
-    /// Messages about slots to and from other nodes that are to arrive.
+    /// Reliable delivery of permit messages to and from other nodes.
     delivery: Delivery,
     allowances: Allowances,
     services: Services,
-    /// Hashes of the failure domains that are evacuated.
+    /// Hashes of the evacuated failure domains.
     evacuated: Vec<u64>,
     topology: Topology,
     waiting: FxHashMap<PermitId, Waiter>,
     open: FxHashMap<PermitId, OpenPermit>,
-    /// Replies of this node's dispatchers that are still to be delivered. A delivery may free the
-    /// next slot, so they wait here instead of on the stack.
+    /// Replies of this node's dispatchers that are not delivered yet. Delivering a reply may free another slot
+    /// and so produce the next reply; the queue avoids unbounded recursion.
     undelivered: VecDeque<(Scope, Settled)>,
-    /// Requests since the last tick that were not served, by the service that might have served them.
+    /// Unserved requests since the last tick of the dispatchers, by the hash of each service that could have
+    /// served them.
     untold: FxHashMap<u64, Untold>,
-    /// Addresses of nodes that have asked for slots.
+    /// Addresses of nodes that have asked this node for slots or allowances. Replies reach such a node even if
+    /// it is not a known member.
     askers: FxHashMap<NodeId, SocketAddr>,
     rejected: Option<Rejected>,
-    /// Why the newest configuration cannot be read.
+    /// Why the newest configuration cannot be decoded.
     unreadable: Option<String>,
     platform_calls: u64,
-    /// When the configuration in force came into force.
+    /// When the current configuration came into force.
     in_force_since: Time,
     metrics: ControlMetrics,
-    /// How long messages to peers took to be acknowledged since that was last logged.
+    /// Acknowledgement times of messages to peers since the last log line about them.
     acknowledged: Vec<Duration>,
-    /// Other nodes that were known when this was last logged.
+    /// Number of peers in the last log line about them.
     known_peers: usize,
-    /// The platform's era when this was last logged.
+    /// Era of the platform at the last check for a change of era.
     known_era: u32,
-    /// Changes of the endpoints since they were last logged.
+    /// Number of endpoint updates since the last log line about them.
     endpoint_changes: u32,
     draining: bool,
     last_tick: Time,
+    /// When the last detected pause of this process ended.
     woke: Time,
     next_dispatcher_tick: Time,
     next_readiness: Time,
     next_renewal: Time,
     rng: StdRng,
     outputs: Outputs,
-    /// Where fetches report to.
+    /// Receives the results of fetches from peers.
     urgent: mpsc::UnboundedSender<Event>,
     log: Logger,
 }
 
-/// Requests of this node that were not served, as a service that was not asked for them is to be told.
+/// Counts of requests of this node that a service could have served but was not asked for.
 #[derive(Clone, Copy, Debug, Default)]
 struct Untold {
-    /// Another service of their routes did not serve them.
+    /// Requests that another service of the same route failed to serve.
     elsewhere: u32,
-    /// They were refused before any service was asked.
+    /// Requests that were refused before any service was asked.
     refused: u32,
 }
 
-/// A request of this node that waits for a slot.
+/// A request of this node that is waiting for a slot.
 #[derive(Debug)]
 struct Waiter {
     tx: oneshot::Sender<Result<(Grant, Place), Refused>>,
@@ -165,25 +172,25 @@
     sent: SentRequest,
 }
 
-/// The request for which a slot is.
+/// The request that a slot is used for, and its route.
 #[derive(Clone, Debug)]
 struct SentRequest {
     route: Arc<Route>,
     request: RequestKey,
 }
 
-/// A slot that a request of this node uses.
+/// A slot in use by a request of this node.
 #[derive(Clone, Debug)]
 struct OpenPermit {
     place: Place,
     service: u64,
     sent: SentRequest,
     endpoint: Name,
-    /// When the endpoint's life began, in Unix milliseconds.
+    /// When the endpoint's process started, in Unix milliseconds.
     started_ms: u64,
-    /// An endpoint has ended under the request before.
+    /// Whether an endpoint has already crashed while running this request.
     is_watched: bool,
-    /// A stall was reported.
+    /// Whether a stall of this request was reported.
     stalled: bool,
 }
 
@@ -194,40 +201,40 @@
     }
 }
 
-/// What the control thread starts with.
+/// Arguments of `Control::new`.
 pub struct Start {
-    /// The exchange.
+    /// State of the exchange with other nodes.
     pub exchange: Exchange,
-    /// Its socket.
+    /// Sockets of the exchange.
     pub edge: Edge,
-    /// The fleet's keys.
+    /// Keys that authenticate frames between nodes.
     pub keys: Keys,
-    /// The asking side of dispatch.
+    /// The part of dispatch that asks for slots on behalf of this node's requests.
     pub client: Client,
-    /// An ask to another node that is not answered for this long is lost.
+    /// Time after which an unanswered ask to another node counts as lost.
     pub ask_timeout: Duration,
-    /// The way of dispatch.
+    /// The dispatch mode.
     pub mode: Mode,
     /// Name of this node's failure domain.
     pub failure_domain: String,
-    /// Size of the budget for repeats.
+    /// Limits of the budget for repeats.
     pub budget: BudgetLimits,
-    /// Which failure domain is in which region.
+    /// The region of each failure domain.
     pub topology: Topology,
-    /// Figures that it keeps.
+    /// Metrics of the control thread.
     pub metrics: ControlMetrics,
-    /// What is written to.
+    /// Channels and shared state that the control thread writes to.
     pub outputs: Outputs,
-    /// Where fetches report to.
+    /// Receives the results of fetches from peers.
     pub urgent: mpsc::UnboundedSender<Event>,
-    /// Randomness.
+    /// Random number generator of the control thread.
     pub rng: StdRng,
-    /// Logs.
+    /// Logger of the control thread.
     pub log: Logger,
 }
 
 impl Control {
-    /// Builds the state at `clock`, which is its time zero.
+    /// Creates the state; all its times count from `clock`.
     pub fn new(clock: Moment, node_addr: SocketAddr, mut start: Start) -> Self {
         let failure_domain = name_hash(&start.failure_domain);
         let now = Time(0);
@@ -274,8 +281,8 @@
         }
     }
 
-    /// Runs until `Event::Stop`. What is read of the platform or fetched comes through `urgent` and goes first:
-    /// behind the slots of a busy service it would come into force late.
+    /// Runs until `Event::Stop`. Results of platform reads and of fetches arrive through `urgent` and are handled
+    /// before `events`; queued behind the slot requests of a busy service they would take effect late.
     pub async fn run(
         mut self,
         mut events: mpsc::UnboundedReceiver<Event>,
@@ -306,7 +313,7 @@
                 self.tick(now);
             }
             self.deliver_all(now);
-            // Reads, fetches and the API run on this thread too.
+            // Platform reads, fetches and the operator API run on this thread too.
             yield_now().await;
         }
     }
@@ -317,7 +324,8 @@
         Instant::now() + next.since(self.now())
     }
 
-    /// Asks that are under way need fine timers; otherwise waking up is most of what a node costs.
+    /// Pending asks need a short tick. Otherwise the tick is long, since wake-ups are most of the CPU cost of an
+    /// idle node.
     fn tick_interval(&self) -> Duration {
         let is_finding = self.exchange.is_finding(self.now());
         let is_asking = !self.client.is_idle() || !self.allowances.is_idle();
@@ -341,7 +349,7 @@
             }
             Event::Bundle(asker, tx) => {
                 let (bundle, effects) = self.exchange.bundle(now, asker);
-                // The peer may have left.
+                // The peer may have closed its connection.
                 let _ = tx.send(bundle);
                 self.apply(now, effects);
             }
@@ -357,11 +365,11 @@
                 self.next_readiness = now;
             }
             Event::Report(tx) => {
-                // The asker may have left.
+                // The operator's request may have been cancelled.
                 let _ = tx.send(self.report(now));
             }
             Event::Cut(to) => {
-                warn!(self.log, "a fault is induced: frames are dropped"; "to" => ?to);
+                warn!(self.log, "fault injection: frames to these nodes are dropped"; "to" => ?to);
                 self.edge.set_cut(to);
             }
             Event::Stop => {}
@@ -369,7 +377,7 @@
     }
 }
 
-/// Finds dispatching nodes among the members and this node itself.
+/// Ranks the members and this node itself as dispatchers of a service.
 struct Nodes<'a> {
     now: Time,
     me: Reporter,
@@ -378,8 +386,9 @@
 }
 
 impl Directory for Nodes<'_> {
-    /// Those of the own region go first: from another one a slot is late. Then strong nodes do: a tenth of a core is late
-    /// when it hands out the slots of a busy service. Newcomers are asked only where nobody else is known.
+    /// Nodes of this node's own region come first, since slots from another region arrive late. Within a region,
+    /// nodes with more CPU come first: a tenth of a core is too slow to hand out the slots of a busy service.
+    /// Recently joined nodes are left out, except for this node if no other node serves.
     fn candidates(&self, service: u64) -> Vec<NodeId> {
         let serving = self.serving();
         let of = |is_own: bool| {
@@ -393,7 +402,7 @@
     }
 }
 
-/// A node that may do something for others.
+/// A node that may dispatch services and own allowances.
 struct Serving {
     node: NodeId,
     millicores: u32,
@@ -405,7 +414,7 @@
         Self { now, me, topology, exchange }
     }
 
-    /// The nodes that may do something for others.
+    /// The nodes that may dispatch services and own allowances.
     fn serving(&self) -> Vec<Serving> {
         let own = self.me.failure_domain;
         let serving = self.exchange.members().serving(self.now, fleet::ROUND);
--- a/crates/dappleway/src/control/allowances.rs
+++ b/crates/dappleway/src/control/allowances.rs
@@ -1,4 +1,5 @@
-//! Allowances of organisations: asked for at the owners of their buckets, decided where this node is one.
+//! Allowances of organisations. Each organisation's bucket is owned by one node. This module asks the owners
+//! on behalf of this node's callers, and answers for the buckets that this node owns.
 
 use std::time::Duration;
 
@@ -17,40 +18,43 @@
 use super::{Control, Nodes};
 use crate::services::name_hash;
 
-/// Interval at which the owners are worked out anew.
+/// Interval at which the set of owners is recomputed.
 const OWNERS_REFRESH: Duration = Duration::from_millis(100);
-/// Asks are said again after so many times the patience for slots: nobody's slot is held meanwhile.
+/// Timeout of an allowance ask, as a multiple of the timeout of a slot ask. A longer timeout is affordable
+/// because no slot is held while the ask waits.
 const PATIENCE: u32 = 2;
-/// Once a node knows the fleet, the others entrust their shares to it within this. Until then nobody is refused: those that have
-/// waited would meet buckets with the shares of a few.
+/// Time in which the other nodes delegate their shares to an owner after the owner has discovered the fleet.
+/// During this time the owner refuses no request, because its buckets hold the shares of few nodes and would
+/// turn away requests that are within the allowance.
 const SETTLES: Duration = Duration::from_millis(250);
-/// Organisations in a report at most.
+/// Maximum number of organisations in a report.
 const MAX_REPORTED: usize = 200;
-/// Organisations named in the log in a second at most.
+/// Maximum number of organisations that are logged by name each second.
 const MAX_LOGGED: usize = 8;
 
-/// A limited organisation.
+/// An organisation with an allowance.
 #[derive(Clone, Debug)]
 struct Limited {
     name: Name,
     allowance: Allowance,
-    /// Requests refused here when that was last logged.
+    /// Requests that this owner had refused when refusals were last logged.
     refused_before: u64,
 }
 
-/// What the control thread holds for allowances.
+/// Allowance state of the control thread.
 pub(super) struct Allowances {
     client: AllowanceClient,
     owner: AllowanceOwner,
     waiting: FxHashMap<u64, oneshot::Sender<Admission>>,
-    /// Organisations that are limited, by the hash of their name.
+    /// Organisations with an allowance, by the hash of their name.
     limited: FxHashMap<u64, Limited>,
-    /// The owners that this node asks, and when they were worked out.
+    /// The nodes that this node considers owners, and when they were computed.
     owners: (Vec<NodeId>, Time),
-    /// Since when this node knows the fleet.
+    /// When this node finished discovering the fleet.
     known_since: Option<Time>,
-    /// Requests granted and refused to callers of this node.
+    /// Requests of this node's callers that were granted.
     pub(super) granted: u64,
+    /// Requests of this node's callers that were refused.
     pub(super) refused: u64,
 }
 
@@ -68,12 +72,12 @@
         }
     }
 
-    /// Whether no ask is under way.
+    /// Whether no ask is pending.
     pub(super) fn is_idle(&self) -> bool {
         self.client.is_idle()
     }
 
-    /// Follows a configuration that has come into force.
+    /// Applies a configuration that has come into force.
     pub(super) fn reconfigure(&mut self, callers: &Callers) {
         let limited = callers.iter().filter_map(|it| {
             let allowance = it.allowance()?;
@@ -83,7 +87,7 @@
         self.limited = limited.collect();
     }
 
-    /// Decides on an ask.
+    /// Decides on an ask as the owner of the bucket.
     fn decide(
         &mut self,
         now: Time,
@@ -105,14 +109,14 @@
         (organisation, self.limited.get(&organisation).map(|it| it.allowance))
     }
 
-    /// Asks that were settled by this node alone.
+    /// Number of asks that this node decided by its own share, without an answer of the owner.
     pub(super) fn alone(&self) -> u64 {
         self.client.alone
     }
 }
 
 impl Control {
-    /// Finds out whether an organisation may make one more request.
+    /// Asks whether an organisation may make one more request; the answer is sent to `tx`.
     pub(super) fn admit(&mut self, now: Time, organisation: u64, tx: oneshot::Sender<Admission>) {
         self.refresh_owners(now);
         let owners = &self.allowances.owners.0;
@@ -131,7 +135,7 @@
                 let action = self.allowances.client.answer(now, from, seq, decision);
                 action.into_iter().for_each(|it| self.allowance_action(now, it));
             }
-            // The size of the fleet, and so of a share, is not known before.
+            // The size of a share depends on the size of the fleet, which is unknown before.
             AllowanceMessage::Entrust(it) if self.allowances.known_since.is_some() => {
                 self.allowances.owner.buckets.entrust(now, from, &it);
             }
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Moves what time alone moves. Costs nothing where no organisation is limited.
+    /// Refills buckets, delegates shares and handles timeouts. Returns at once if no organisation is limited.
     pub(super) fn tick_allowances(&mut self, now: Time) {
         if self.allowances.limited.is_empty() && self.allowances.is_idle() {
             return;
@@ -197,7 +201,7 @@
             _ => self.allowances.refused += 1,
         }
         if let Some(tx) = self.allowances.waiting.remove(&seq) {
-            // The caller may have left.
+            // The request may have been cancelled meanwhile.
             let _ = tx.send(admission);
         }
     }
@@ -217,7 +221,7 @@
         self.allowances.owners = (owners(&asked), now);
     }
 
-    /// The limited organisations as this node knows them.
+    /// Reports on the organisations with an allowance, as this node knows them.
     pub(super) fn organisations(&self) -> Vec<OrganisationReport> {
         let Allowances { owner, limited, owners: (owners, _), .. } = &self.allowances;
         let held: FxHashMap<_, _> =
@@ -242,7 +246,7 @@
         all
     }
 
-    /// Says whose allowances were used up at the buckets of this node.
+    /// Logs the organisations that were refused by buckets of this node since the last call.
     pub(super) fn log_allowances(&mut self) {
         let Allowances { owner, limited, .. } = &mut self.allowances;
         let mut refusing: Vec<_> = Vec::new();
--- a/crates/dappleway/src/control/dispatch_log.rs
+++ b/crates/dappleway/src/control/dispatch_log.rs
@@ -1,5 +1,5 @@
-//! Once a second, for each service whose slots were handed out here: what was asked for, how it ended, and which
-//! endpoints had no work while a part was not served.
+//! Log lines about slots, written once a second for each service whose slots this node hands out: the requests and
+//! their outcomes, and the endpoints that were idle while some requests were not served.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use super::Control;
 use crate::services::{Noticed, Scope};
 
-/// Idle endpoints named in one line at most.
+/// Maximum number of idle endpoints in one line.
 const MAX_NAMED: usize = 24;
 
-/// What one service's dispatcher tells.
+/// Data of one log line about a dispatcher.
 struct Line {
     service: u64,
     scope: Scope,
@@ -21,12 +21,12 @@
     occupancy: Occupancy,
     queued: usize,
     strain: &'static str,
-    /// Endpoints without work, described.
+    /// Descriptions of the idle endpoints.
     idle: Vec<String>,
 }
 
 impl Control {
-    /// Logs what was handed out here since the last time.
+    /// Logs the slots that this node handed out since the last call.
     pub(super) fn log_dispatch(&mut self, now: Time) {
         let mut lines = Vec::new();
         self.services.for_each(|service, scope, it| {
@@ -72,17 +72,18 @@
     }
 }
 
-/// Messages to peers that take longer than this were lost, or waited beside what else a link carries.
+/// Acknowledgement time above which a message counts as slow. Such a message was lost and resent, or was delayed
+/// by other traffic on the link.
 const SLOW_MESSAGE: Duration = Duration::from_millis(40);
 
 impl Control {
-    /// Counts a message to a peer that was acknowledged after `it`.
+    /// Records the time until a peer acknowledged a message.
     pub(super) fn note_acknowledged(&mut self, it: Duration) {
         self.metrics.note_acknowledged(it);
         self.acknowledged.push(it);
     }
 
-    /// Logs how long messages to peers took in a second in which one of them was slow.
+    /// Logs the acknowledgement times since the last call if one of them was slow.
     pub(super) fn log_acknowledged(&mut self) {
         let mut took = std::mem::take(&mut self.acknowledged);
         took.sort_unstable();
@@ -93,7 +94,7 @@
             "middle_ms" => ms(&took[took.len() / 2]), "longest_ms" => ms(longest));
     }
 
-    /// Logs what an endpoint says of itself and this node did not know.
+    /// Logs a notice from an endpoint.
     pub(super) fn log_notice(&self, service: u64, it: &Noticed) {
         let Some(state) = self.services.get(service) else { return };
         let (service, endpoint) = (state.service.name.as_str(), it.endpoint.as_str());
@@ -115,7 +116,7 @@
     it.idle_endpoints(now).take(MAX_NAMED).map(|it| describe(&it)).collect()
 }
 
-/// One endpoint in few signs, so that a line stays short; docs/OPERATIONS.md names the places.
+/// Describes an endpoint as a JSON array, which keeps the line short; docs/OPERATIONS.md documents the elements.
 fn describe(it: &IdleEndpoint) -> String {
     let ms = |it: Option<Duration>| it.map(|it| it.as_millis() as u64);
     json!([
--- a/crates/dappleway/src/control/exchange.rs
+++ b/crates/dappleway/src/control/exchange.rs
@@ -1,4 +1,4 @@
-//! Frames from other nodes and what follows from them.
+//! Handling of frames from other nodes, and sending of frames to other nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Takes in messages about slots. The acknowledgement goes first: what follows may be much.
+    /// Handles a batch of permit messages. The acknowledgement is sent first, because handling the messages may
+    /// take long.
     fn receive_batch(&mut self, now: Time, from: (NodeId, SocketAddr), batch: Batch) {
         let (messages, ack) = self.delivery.receive(now, from.0, batch);
         self.edge.send(from.1, &self.exchange.frame(Message::Ack(ack)));
@@ -86,14 +87,14 @@
         }
     }
 
-    /// Sends again what was not acknowledged in time.
+    /// Resends batches that were not acknowledged in time.
     pub(super) fn resend(&mut self, now: Time) {
         for (node, batch) in self.delivery.tick(now) {
             self.send_frame(node, Message::Reliable(batch));
         }
     }
 
-    /// Sends a message about slots, again and again if it is one that is to arrive.
+    /// Sends a permit message; messages of a reliable kind are resent until they are acknowledged.
     pub(super) fn send_to(&mut self, now: Time, node: NodeId, message: PermitMessage) {
         match message.is_reliable() {
             true => self.send_reliably(now, node, message),
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Sends a message about slots until it is acknowledged.
+    /// Sends a permit message and resends it until it is acknowledged.
     pub(super) fn send_reliably(&mut self, now: Time, node: NodeId, message: PermitMessage) {
         match self.delivery.send(now, node, message) {
             Ok(batch) => self.send_frame(node, Message::Reliable(batch)),
--- a/crates/dappleway/src/control/metrics.rs
+++ b/crates/dappleway/src/control/metrics.rs
@@ -1,5 +1,5 @@
-//! Figures of the control thread: endpoints, repeats, the platform, what is in force. Labels are bounded:
-//! none grows with services, endpoints or nodes.
+//! Metrics of the control thread: endpoints, repeats, the platform and the configuration in force. The number of
+//! label values is fixed and does not grow with services, endpoints or nodes.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use super::Control;
 use crate::services::Scope;
 
-/// Figures of the control thread.
+/// Metrics of the control thread.
 pub struct ControlMetrics {
     endpoints: IntGaugeVec,
     repeats: IntCounterVec,
@@ -39,7 +39,7 @@
     fetches: FetchesServed,
 }
 
-/// Figures of what peers fetched from this node.
+/// Metrics of the fetches that this node served to peers.
 #[derive(Clone)]
 pub struct FetchesServed {
     count: IntCounterVec,
@@ -50,18 +50,18 @@
     fn new() -> prometheus::Result<Self> {
         let count = Opts::new(
             "dappleway_fetches_served_total",
-            "Fetches of peers that were served here, by outcome.",
+            "Fetches by peers that this node served, by outcome.",
         );
         Ok(Self {
             count: IntCounterVec::new(count, &["outcome"])?,
             bytes: IntCounter::new(
                 "dappleway_fetches_served_bytes_total",
-                "Bytes sent to peers that fetched something here.",
+                "Bytes sent to peers in answer to their fetches.",
             )?,
         })
     }
 
-    /// Takes in one that has ended.
+    /// Counts a fetch that has ended.
     pub fn note(&self, it: &ServedFetch) {
         self.count.with_label_values(&[it.ending.name()]).inc();
         self.bytes.inc_by(it.bytes as u64);
@@ -69,7 +69,7 @@
 }
 
 impl ControlMetrics {
-    /// Registers the figures.
+    /// Creates the metrics and registers them.
     pub fn register(registry: &Registry) -> prometheus::Result<Self> {
         let gauge = |name: &str, help: &str| -> prometheus::Result<IntGauge> {
             let it = IntGauge::new(name, help)?;
@@ -89,34 +89,37 @@
             repeats: IntCounterVec::new(
                 Opts::new(
                     "dappleway_repeats_total",
-                    "Sends beyond the first that were asked for here, by outcome.",
+                    "Sends beyond the first that dispatchers of this node were asked for, by outcome.",
                 ),
                 &["outcome"],
             )?,
             budget: GaugeVec::new(
                 Opts::new(
                     "dappleway_repeat_budget",
-                    "Repeats of the present window at services dispatched here: allowed and spent.",
+                    "Repeats in the current window, allowed and spent, for services that this node dispatches.",
                 ),
                 &["part"],
             )?,
-            queued: gauge("dappleway_queued", "Requests that wait here for a slot.")?,
-            platform_calls: IntCounter::new("dappleway_platform_calls_total", "Platform calls.")?,
+            queued: gauge("dappleway_queued", "Requests queued for a slot at this node.")?,
+            platform_calls: IntCounter::new(
+                "dappleway_platform_calls_total",
+                "Calls of this node to the platform.",
+            )?,
             platform_age: seconds(
                 "dappleway_platform_age_seconds",
-                "Time since the platform was heard, by this node or through a peer.",
+                "Time since the platform last answered this node or a node that reported the answer to this one.",
             )?,
             config_version: gauge(
                 "dappleway_config_version",
-                "Configuration in force; 0 for none.",
+                "Version of the configuration in force; 0 for none.",
             )?,
             config_age: seconds(
                 "dappleway_config_age_seconds",
-                "Time since the configuration came into force here.",
+                "Time since the configuration came into force at this node.",
             )?,
             config_behind: seconds(
                 "dappleway_config_behind_seconds",
-                "For how long a newer configuration has been known to exist that is not in force here; 0 for none.",
+                "Time since a newer configuration, not in force at this node yet, is known to exist; 0 for none.",
             )?,
             platform_failures: IntCounter::new(
                 "dappleway_platform_failures_total",
@@ -124,49 +127,49 @@
             )?,
             platform_era: gauge(
                 "dappleway_platform_era",
-                "Era of the platform that is known; it rises when the platform comes back from an older copy.",
+                "Latest known era of the platform; it rises when the platform is restored from an older copy.",
             )?,
             registry_revision: gauge(
                 "dappleway_registry_revision",
-                "The platform's revision of the latest change of the endpoints that is known.",
+                "Platform revision of the latest known change of the endpoints.",
             )?,
             nodes: gauge(
                 "dappleway_nodes",
-                "Nodes of the fleet that are known, this one included.",
+                "Known nodes of the fleet, this one included.",
             )?,
             first_sends: IntCounter::new(
                 "dappleway_first_sends_total",
-                "First sends of requests that were asked for here; the budget for repeats grows with them.",
+                "First sends of requests that dispatchers of this node were asked for; the repeat budget grows with them.",
             )?,
             asks: IntCounterVec::new(
                 Opts::new(
                     "dappleway_asks_total",
-                    "Asks of this node for slots that brought nothing at first, by what followed.",
+                    "Asks of this node for slots that failed at first: unanswered, or followed by this node picking an endpoint itself.",
                 ),
                 &["outcome"],
             )?,
             permits: IntCounterVec::new(
                 Opts::new(
                     "dappleway_permits_ended_total",
-                    "Slots handed out here that came free, by how: released, freed_early by an answer that has begun, or expired unheard of.",
+                    "Slots handed out by this node that became free: released, freed_early when the answer began, or expired without renewal.",
                 ),
                 &["how"],
             )?,
             peer_messages: IntCounterVec::new(
                 Opts::new(
                     "dappleway_peer_messages_total",
-                    "Messages about slots to peers that were not acknowledged in time: sent again, or given up.",
+                    "Permit messages to peers that were not acknowledged in time: sent again, or given up.",
                 ),
                 &["outcome"],
             )?,
             unacknowledged: gauge(
                 "dappleway_peer_messages_unacknowledged",
-                "Messages about slots that no peer has acknowledged yet.",
+                "Permit messages to peers that are not acknowledged yet.",
             )?,
             acknowledged: Histogram::with_opts(
                 HistogramOpts::new(
                     "dappleway_peer_acknowledged_seconds",
-                    "Time from the first send of a message about slots until its peer has acknowledged it.",
+                    "Time from the first send of a permit message to its acknowledgement by the peer.",
                 )
                 .buckets(vec![0.002, 0.005, 0.01, 0.02, 0.04, 0.08, 0.16, 0.32, 0.64, 1.3, 3.0]),
             )?,
@@ -195,7 +198,7 @@
         Ok(it)
     }
 
-    /// Counts the slots that came free since the last time.
+    /// Adds the counts of slots that became free.
     pub fn note_permits(&self, counts: &DispatchCounts) {
         self.permits.with_label_values(&["released"]).inc_by(counts.released.into());
         self.permits.with_label_values(&["freed_early"]).inc_by(counts.freed_early.into());
@@ -207,24 +210,25 @@
         self.platform_failures.inc();
     }
 
-    /// Counts a message to a peer that was acknowledged after `it`.
+    /// Records the time until a peer acknowledged a message.
     pub fn note_acknowledged(&self, it: Duration) {
         self.acknowledged.observe(it.as_secs_f64());
     }
 
-    /// Figures of what peers fetch, for the task that serves them.
+    /// Metrics for the task that serves fetches of peers.
     pub fn fetches_served(&self) -> FetchesServed {
         self.fetches.clone()
     }
 }
 
-/// Raises a counter to a sum that is kept elsewhere and never falls but when its owner goes.
+/// Raises a counter to a sum that is kept elsewhere. The sum decreases only when the object that keeps it is
+/// dropped; the counter then keeps its value.
 fn raise(counter: &IntCounter, to: u64) {
     counter.inc_by(to.saturating_sub(counter.get()));
 }
 
 impl Control {
-    /// Brings the figures up to date.
+    /// Updates all metrics that are derived from the control state.
     pub(super) fn measure(&mut self, now: Time) {
         let mut states: FxHashMap<&'static str, i64> = FxHashMap::default();
         for it in self.services.iter() {
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -1,4 +1,5 @@
-//! Slots for the requests of this node: asked for here or at other nodes, used, given back.
+//! Slots for the requests of this node. They are acquired from a dispatcher of this node or of another node,
+//! used, and released.
 
 use std::time::Duration;
 
@@ -48,7 +49,7 @@
         if let Some(retry_after) =
             rejected.or_else(|| state.dispatcher().rejected(now, want.request))
         {
-            // The caller may have left.
+            // The request may have been cancelled meanwhile.
             let _ = tx.send(Err(Refused { retry_after, why: Why::CrashesEndpoints }));
             return;
         }
@@ -85,7 +86,7 @@
         self.act(now, action);
     }
 
-    /// Where a request may go.
+    /// Restrictions on the failure domains that a request may be sent to.
     fn places_of(&self, want: &Want) -> Option<Box<Places>> {
         let only = want.regions.as_ref().map(|it| self.topology.domains_in(it));
         Places { evacuated: self.evacuated.clone(), only }.boxed()
@@ -118,7 +119,7 @@
             _ => self.services.get_mut(service).map(|it| &mut it.direct),
         };
         let Some(dispatcher) = dispatcher else {
-            // The service has gone since it was asked for.
+            // The service was removed after the slot was requested.
             self.act(now, Action::Settle(id, Settlement::Refused(RENEW)));
             return;
         };
@@ -126,7 +127,7 @@
         self.reply_here(now, place, id, reply);
     }
 
-    /// Passes a reply of one of this node's own dispatchers to the wish of this node.
+    /// Passes a reply of one of this node's own dispatchers to the pending slot request that it answers.
     pub(super) fn reply_here(&mut self, now: Time, place: Place, id: PermitId, reply: Reply) {
         if self.mode != Mode::Permits {
             match reply {
@@ -150,7 +151,7 @@
         let is_grant = matches!(reply, Reply::Granted(_));
         match self.client.reply(now, place, id, reply, &directory) {
             Some(action) => self.act(now, action),
-            // The wish has moved on or was withdrawn: its slot goes back.
+            // The slot request was withdrawn or has been sent to another node, so the slot is returned.
             None if is_grant => self.give_back(now, place, id),
             None => {}
         }
@@ -189,7 +190,7 @@
 
     pub(super) fn withdraw(&mut self, now: Time, id: PermitId) {
         let Some(waiter) = self.waiting.remove(&id) else {
-            // Granted meanwhile, and the slot's receiver is gone.
+            // The slot was granted meanwhile, and nobody receives it.
             self.end(now, id, None);
             return;
         };
@@ -201,13 +202,14 @@
         }
     }
 
-    /// Gives back a slot that arrived after its wish was gone.
+    /// Returns a slot that was granted after its request had gone.
     pub(super) fn give_back(&mut self, now: Time, place: Place, id: PermitId) {
         if let Place::Peer(node) = place {
             self.send_to(now, node, PermitMessage::Release { id, outcome: None });
             return;
         }
-        // The service is not known any more; a permit's identity is unique among them.
+        // The service of the permit is not known any more. Permit ids are unique across services, so all
+        // dispatchers are asked to cancel the permit.
         let services: Vec<u64> = self.services.hashes().collect();
         for service in services {
             self.here(place, service, |it, rng| it.cancel(now, id, rng));
@@ -243,7 +245,8 @@
         }
     }
 
-    /// Learns what an endpoint says of itself, for when this node picks for itself too, and tells whoever handed out the slot.
+    /// Applies a notice from an endpoint's answer to the dispatchers of this node, and forwards the notice to the
+    /// node that handed out the slot.
     fn noticed(&mut self, now: Time, id: PermitId, notice: Notice) {
         let Some(open) = self.open.get(&id) else { return };
         let (place, service) = (open.place, open.service);
@@ -261,7 +264,7 @@
         }
     }
 
-    /// Takes in what an endpoint says of itself, and logs what is news.
+    /// Applies a notice from an endpoint and logs it if it changes what this node knows.
     pub(super) fn take_notice(&mut self, now: Time, service: u64, it: &Noticed) {
         if self.services.noticed(now, service, it) {
             self.log_notice(service, it);
@@ -270,7 +273,7 @@
 
     pub(super) fn end(&mut self, now: Time, id: PermitId, outcome: Option<(Kind, Duration)>) {
         let Some(open) = self.open.remove(&id) else { return };
-        // What was open while this process was paused says nothing about the endpoint.
+        // The outcome of a request that was open while this process was paused is no evidence about the endpoint.
         let outcome = outcome.filter(|(_, elapsed)| now - *elapsed > self.woke);
         if let Some((kind @ (Kind::Failed | Kind::Crashed | Kind::TimedOut), elapsed)) = outcome
             && !open.stalled
@@ -283,7 +286,7 @@
         match (open.place, outcome) {
             (Place::Peer(node), outcome) => {
                 self.send_to(now, node, PermitMessage::Release { id, outcome });
-                // What follows a stall is the same evidence again.
+                // A failure after a reported stall is the same evidence, and is not counted twice.
                 if let Some((kind, elapsed)) = outcome.filter(|_| !open.stalled) {
                     self.observe(now, &open, kind, elapsed);
                 }
@@ -295,8 +298,8 @@
         }
     }
 
-    /// Tells the nodes that would dispatch the service next of a request that went wrong, so that
-    /// they need not find out anew.
+    /// Reports a failed request to the nodes that would dispatch the service next, so that they know of the
+    /// failure when they take over.
     fn tell_successors(&mut self, now: Time, open: &OpenPermit, kind: Kind, elapsed: Duration) {
         if self.mode != Mode::Permits {
             return;
@@ -314,7 +317,7 @@
         }
     }
 
-    /// Counts a request for the other services that it might have gone to.
+    /// Counts an unserved request for the other services of its route.
     fn unserved(&mut self, route: &Route, service: &Name) {
         for (other, weight) in route.shares() {
             if other != service && weight > 0 {
@@ -323,8 +326,8 @@
         }
     }
 
-    /// Counts a request for all services that it might have gone to. None of them was asked, and the users count it as not
-    /// served by each.
+    /// Counts a request that was refused before any service was asked, for all services of its route. The
+    /// availability target counts such a request as not served by each of these services.
     fn refused(&mut self, route: &Route) {
         for (service, weight) in route.shares() {
             if weight > 0 {
@@ -333,7 +336,7 @@
         }
     }
 
-    /// Tells those that hand out the slots of the other services.
+    /// Reports the counted unserved requests to the dispatchers of the services.
     pub(super) fn tell_unserved(&mut self, now: Time) {
         for (service, Untold { elsewhere: requests, refused }) in std::mem::take(&mut self.untold) {
             let directory = Nodes::new(now, self.me, &self.topology, &self.exchange);
@@ -351,15 +354,15 @@
         }
     }
 
-    /// Learns, for the time when this node must pick for itself, from a request whose slot came
-    /// from another node.
+    /// Records the outcome of a request whose slot came from another node, for the case that this node has to
+    /// pick endpoints itself later.
     pub(super) fn observe(&mut self, now: Time, open: &OpenPermit, kind: Kind, elapsed: Duration) {
         let Some(state) = self.services.get_mut(open.service) else { return };
         let it = Observation { reporter: self.me, endpoint: 0, route: open.route(), kind, elapsed };
         state.direct.observe(now, &open.endpoint, it);
     }
 
-    /// Runs `f` on a dispatcher of this node and delivers the replies that follow.
+    /// Runs `f` on a dispatcher of this node and queues the replies that it returns.
     pub(super) fn here(
         &mut self,
         place: Place,
@@ -376,14 +379,14 @@
         self.undelivered.extend(settled.into_iter().map(|it| (scope, it)));
     }
 
-    /// Delivers the replies that wait, those that follow from a delivery included.
+    /// Delivers all queued replies, including those that are queued by a delivery.
     pub(super) fn deliver_all(&mut self, now: Time) {
         while let Some((scope, it)) = self.undelivered.pop_front() {
             self.deliver(now, scope, it);
         }
     }
 
-    /// Delivers a reply to one that waited at a dispatcher of this node.
+    /// Delivers a dispatcher's reply to the request that waited for it, on this node or on another one.
     pub(super) fn deliver(&mut self, now: Time, scope: Scope, it: Settled) {
         if it.id.node == self.me.node {
             let place = match scope {
@@ -393,7 +396,7 @@
             self.reply_here(now, place, it.id, it.reply);
             return;
         }
-        // Nobody asks again for a while: a slot that was waited for would stay unused.
+        // The asking node has no reason to ask again soon. If the answer were lost, the slot would stay unused.
         self.send_reliably(now, it.id.node, PermitMessage::Answer { id: it.id, reply: it.reply });
     }
 }
--- a/crates/dappleway/src/control/peer_slots.rs
+++ b/crates/dappleway/src/control/peer_slots.rs
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Runs `f` on every dispatcher for others; permits are found by their identity.
+    /// Runs `f` on every fleet dispatcher and queues the replies. A message about a permit names no service; the
+    /// dispatcher that granted the permit recognizes its id, and the others ignore it.
     pub(super) fn each_own(
         &mut self,
         f: impl Fn(&mut policy::Dispatcher, &mut StdRng) -> Vec<Settled>,
--- a/crates/dappleway/src/control/publications.rs
+++ b/crates/dappleway/src/control/publications.rs
@@ -1,4 +1,4 @@
-//! What the platform has published: read here or fetched from a peer, checked, put in force.
+//! Data published by the platform. It is read by this node or fetched from a peer, validated and put in force.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::{Control, Rejected};
 use crate::services::name_hash;
 
-/// Where a configuration came from.
+/// Source of a configuration.
 #[derive(Clone, Copy, Debug)]
 enum Origin {
     Platform,
@@ -29,7 +29,7 @@
 }
 
 impl Control {
-    /// Takes in what this node has read from the platform.
+    /// Applies data that this node has read from the platform.
     pub(super) fn read(&mut self, now: Time, mut published: Published, calls: u64) {
         self.platform_calls = calls;
         if let Some(reason) = &published.unreadable {
@@ -42,7 +42,7 @@
         self.set_reads(now);
     }
 
-    /// Takes in the configuration that this node has read alone.
+    /// Applies a configuration that this node has read from the platform without the registry.
     pub(super) fn configuration_read(&mut self, now: Time, it: Option<Document>, calls: u64) {
         self.platform_calls = calls;
         if it.is_some_and(|it| self.accept(now, &it, Origin::Platform)) {
@@ -51,14 +51,14 @@
         self.set_reads(now);
     }
 
-    /// The platform did not answer this node.
+    /// Handles a failed read of the platform.
     pub(super) fn read_failed(&mut self, now: Time) {
         self.metrics.note_platform_failure();
         let effects = self.exchange.read_failed();
         self.apply(now, effects);
     }
 
-    /// Takes in what a peer knew.
+    /// Applies data that was fetched from a peer.
     pub(super) fn fetched(&mut self, now: Time, mut published: Published, members: Vec<NodeInfo>) {
         if let Some(it) = published.document.take() {
             self.accept(now, &it, Origin::Peer);
@@ -68,7 +68,7 @@
         self.set_reads(now);
     }
 
-    /// Follows the registry.
+    /// Applies the endpoints and evacuations of the registry.
     pub(super) fn follow_endpoints(&mut self, now: Time) {
         let replica = self.exchange.replica();
         let evacuated: Vec<u64> = replica.evacuated().map(|it| name_hash(it)).collect();
@@ -82,7 +82,8 @@
         self.publish_services();
     }
 
-    /// Puts a configuration in force if it is newer and valid; returns whether it is valid.
+    /// Puts a configuration in force if it is newer and valid. Returns whether it is valid; a configuration that
+    /// is not newer counts as valid.
     fn accept(&mut self, now: Time, document: &Document, origin: Origin) -> bool {
         let in_force = self.exchange.replica().facts().version;
         if document.version <= in_force {
--- a/crates/dappleway/src/control/report.rs
+++ b/crates/dappleway/src/control/report.rs
@@ -1,4 +1,4 @@
-//! The report of the control thread.
+//! The fleet report that the operator API serves.
 
 use fleet::{Directory, Phase, Reads};
 use operator::{EndpointReport, MemberReport, Report, ServiceReport};
@@ -8,7 +8,7 @@
 use crate::services::{ServiceState, name_hash};
 
 impl Control {
-    /// The fleet as this node sees it now.
+    /// Builds the report of the fleet as this node sees it.
     pub(super) fn report(&self, now: Time) -> Report {
         let replica = self.exchange.replica();
         let facts = replica.facts();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Why this node should get no traffic; nothing if it should.
+    /// Why this node should get no traffic; `None` if it should.
     pub(super) fn not_ready(&self) -> Option<String> {
         if self.draining {
             return Some("a planned stop is under way: requests in flight end first".to_owned());
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Address of the node that hands out the slots of a service, as this node sees it.
+    /// Address of the node that this node asks for slots of a service.
     fn dispatched_by(&self, now: Time, service: &str) -> Option<String> {
         let directory = Nodes::new(now, self.me, &self.topology, &self.exchange);
         let node = directory.candidates(name_hash(service)).into_iter().next()?;
         Some(self.addr_of(node))
     }
 
-    /// Address of the exchange of a node that is known here.
+    /// Exchange address of a node; this node's own address if the node is not a known member.
     pub(super) fn addr_of(&self, node: NodeId) -> String {
         let member = self.exchange.members().get(node);
         member.map_or(self.node_addr, |it| it.info.addr).to_string()
@@ -113,7 +113,7 @@
     }
 }
 
-/// An endpoint as the dispatcher sees it that hands out its slots: the own one if there is one.
+/// Reports on an endpoint from the view of the active dispatcher of its service on this node.
 fn endpoint(now: Time, service: &ServiceState, i: usize) -> EndpointReport {
     let dispatcher = service.dispatcher();
     let status = &dispatcher.endpoints()[i];
--- a/crates/dappleway/src/control/suspects.rs
+++ b/crates/dappleway/src/control/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests under which endpoints end: who is told of a crash, and of a request that is sent no more.
+//! Requests that crash endpoints. Crashes are reported to the nodes that may hand out slots for the same request
+//! next, and rejections of such requests are sent to all nodes.
 
 use std::time::Duration;
 
@@ -10,8 +11,8 @@
 use crate::services::{Ticked, name_hash};
 
 impl Control {
-    /// Tells those that may hand out slots for the request next how it ended: whoever grants, at whichever of the
-    /// route's services, counts the same crashes.
+    /// Reports how a request ended to the dispatchers of all services of its route and to their successors, so
+    /// that all of them count the same crashes.
     pub(super) fn tell_run(&mut self, now: Time, open: &OpenPermit, kind: Kind, elapsed: Duration) {
         let end = match kind {
             Kind::Crashed if self.is_expected(open) => RunEnd::Crashed,
@@ -28,7 +29,7 @@
             let directory = Nodes::new(now, self.me, &self.topology, &self.exchange);
             let next = directory.candidates(service).into_iter().take(SUCCESSORS + 1);
             let next: Vec<NodeId> = next.filter(|it| *it != self.me.node).collect();
-            // Who granted the slot learns of it when the slot goes back.
+            // The dispatcher that granted the slot learns the outcome when the slot is released.
             let grantor = (service == open.service).then_some(open.place);
             for node in next.into_iter().filter(|it| grantor != Some(Place::Peer(*it))) {
                 let message = PermitMessage::Ran { service, request, end, elapsed };
@@ -44,7 +45,7 @@
         }
     }
 
-    /// What this node has seen answered is above suspicion when it picks for itself.
+    /// Records for this node's direct dispatcher that the request was answered, and so does not crash endpoints.
     fn note_answered(&mut self, now: Time, open: &OpenPermit) {
         if let Some(state) = self.services.get_mut(open.service)
             && open.place != Place::Direct
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether the endpoint is known here and to be there.
+    /// Whether the endpoint is known to this node and expected to be running.
     fn is_expected(&self, open: &OpenPermit) -> bool {
         let is_it = |it: &&EndpointStatus| it.id == open.endpoint;
         let endpoints = self.services.get(open.service).map(|it| it.direct.endpoints());
@@ -61,7 +62,7 @@
         found.is_some_and(EndpointStatus::is_expected)
     }
 
-    /// Tells every node of the requests that a dispatcher of this one has come to reject.
+    /// Sends the requests that a dispatcher of this node has started to reject to all nodes.
     pub(super) fn tell_rejections(&mut self, now: Time, ticked: &mut Ticked) {
         let rejections = std::mem::take(&mut ticked.rejections);
         for it in &rejections {
--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -22,15 +22,15 @@
 use crate::services::name_hash;
 use crate::settings::Mode;
 
-/// Events that wait for the control thread when it begins.
+/// Number of events that are queued when the control thread starts.
 const FLOOD: usize = 20_000;
-/// Turns that a read of the platform or a fetch from a peer takes: connecting, writing, reading.
+/// Number of times that a platform read or a fetch yields to the runtime: for connecting, writing and reading.
 const TURNS_OF_A_FETCH: usize = 8;
 
-/// A node that handed out slots for a busy service needed half a second for one turn of its control thread and
-/// used an old configuration for six seconds. It had heard of the newer one, and its fetch had been started, but
-/// tasks beside the loop got their turn only after 128 turns of the loop: twelve fetches ended at the same moment,
-/// 12 s after the first word of the configuration.
+/// Guards against a busy control loop that starves the fetch tasks on its thread. A node that handed out slots for
+/// a busy service needed half a second for one iteration of the loop, and the fetch tasks ran only after 128
+/// iterations. Twelve fetches ended at the same moment, 12 s after the node had learned of a newer configuration,
+/// and the node used the outdated one for six seconds.
 #[tokio::test]
 async fn a_busy_control_thread_takes_up_a_configuration_all_the_same() {
     let (events, received) = mpsc::unbounded_channel();
@@ -93,8 +93,8 @@
     Control::new(Moment::now(), addr, start)
 }
 
-/// While a machine is suspended its steady clock stands still. A node that went by it took permits, credits for
-/// repeats and the proof that its copy is fresh for younger than they were, by the length of the suspension.
+/// The monotonic clock stops while the VM is suspended. With that clock, permits, repeat credits and freshness
+/// confirmations would count as younger than they are by the length of the suspension.
 #[tokio::test]
 async fn a_suspension_of_the_machine_is_a_pause() {
     let (urgent, _received) = mpsc::unbounded_channel();
@@ -105,14 +105,14 @@
     let now = control.now();
     control.notice_pause(now);
     assert!(now.since(before) >= Duration::from_secs(5));
-    assert_eq!(control.woke, now, "evidence from before it is dropped");
+    assert_eq!(control.woke, now, "evidence from before the suspension is dropped");
 }
 
 const LIMITED: &str = r#"{"version": 1, "resources": [{"kind": "Service", "name": "s", "slots": 1, "connections": 9,
     "floor": "50%", "bias": "speed",
     "endpoints": [{"id": "e", "addr": "127.0.0.1:9", "failure_domain": "a"}]}]}"#;
 
-/// A node of another address that serves, on a strong VM.
+/// A gossip frame of another serving node, whose VM has more CPU than this node.
 fn strong_node(control: &Control) -> Frame {
     let info = NodeInfo {
         addr: ([127, 0, 0, 2], 9).into(),
@@ -141,9 +141,13 @@
         it.set_precedences(it.now());
         it.services.own(it.now(), service).unwrap().precedence()
     };
-    assert_eq!(precedence(&mut control), Precedence::First, "it is alone");
+    assert_eq!(precedence(&mut control), Precedence::First, "no other node is known");
     let frame = strong_node(&control);
     let NodeInfo { addr, .. } = control.exchange.info();
     control.receive(control.now(), addr, frame, 1);
-    assert_eq!(precedence(&mut control), Precedence::OneOfMany, "the strong one goes first");
+    assert_eq!(
+        precedence(&mut control),
+        Precedence::OneOfMany,
+        "the stronger node is first choice"
+    );
 }
--- a/crates/dappleway/src/control/timers.rs
+++ b/crates/dappleway/src/control/timers.rs
@@ -1,4 +1,4 @@
-//! What time alone moves, and what a pause of this process undoes.
+//! Periodic work of the control thread, and recovery after a pause of this process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,16 +16,18 @@
 use crate::services::{Scope, Ticked};
 use crate::settings::Mode;
 
-/// A node that lacks a configuration for this long has failed to get it in both ways.
+/// Delay after which a missing configuration is logged. By then both the fetch from a peer and the read of the
+/// platform have failed.
 const LONG_BEHIND: Duration = Duration::from_millis(800);
 
 impl Control {
+    /// Checks for a pause of this process. After a pause the dispatchers drop their evidence.
     pub(super) fn notice_pause(&mut self, now: Time) {
         let pause = now.since(self.last_tick);
         if pause < PAUSE {
             return;
         }
-        warn!(self.log, "this process was paused: evidence is dropped";
+        warn!(self.log, "this process was paused: evidence from before is dropped";
             "ms" => pause.as_millis() as u64);
         self.woke = now;
         self.last_tick = now;
@@ -80,7 +82,7 @@
         self.set_reads(now);
     }
 
-    /// Finds out for which services this node is the first choice, where that matters.
+    /// Updates whether this node is the first choice as dispatcher, for services with rate-limited endpoints.
     pub(super) fn set_precedences(&mut self, now: Time) {
         let directory = Nodes::new(now, self.me, &self.topology, &self.exchange);
         let me = self.me.node;
@@ -92,7 +94,8 @@
         });
     }
 
-    /// One line a second at most, however many nodes come and go.
+    /// Logs changes of the number of peers. This is called once a second, which bounds the lines while many nodes
+    /// come and go.
     fn log_peers(&mut self) {
         let known = self.exchange.members().len();
         let before = std::mem::replace(&mut self.known_peers, known);
@@ -101,8 +104,8 @@
         }
     }
 
-    /// One line a second at most: while endpoints are replaced there is a change every 0.1 s, and the lines
-    /// would push all others out of what is kept.
+    /// Logs changes of the endpoints. This is called once a second: while endpoints are replaced there is a change
+    /// every 0.1 s, and a line for each would displace all other lines from the log storage.
     fn log_endpoints(&mut self) {
         let changes = std::mem::take(&mut self.endpoint_changes);
         if changes > 0 {
@@ -112,7 +115,8 @@
         }
     }
 
-    /// Says that the platform has come back from an older copy, also where that was heard of from a peer.
+    /// Logs that the platform was restored from an older copy, also if this node learned of the restore from a
+    /// peer.
     fn log_era(&mut self) {
         let position = self.exchange.replica().facts().registry;
         let before = std::mem::replace(&mut self.known_era, position.era);
@@ -122,14 +126,14 @@
         }
     }
 
-    /// Says that a newer configuration is known to exist and could not be had for a while.
+    /// Logs that a newer configuration is known to exist but could not be obtained for a while.
     fn log_behind(&self, now: Time) {
         let duty = self.exchange.duty();
         let behind = duty.behind_for(now);
         if behind < LONG_BEHIND {
             return;
         }
-        warn!(self.log, "configuration is behind: peers and platform did not give the newer one";
+        warn!(self.log, "configuration is behind: neither peers nor the platform have sent the newer one";
             "config" => self.exchange.replica().facts().version,
             "known_to_exist" => self.exchange.told().version,
             "behind_ms" => behind.as_millis() as u64,
@@ -137,7 +141,7 @@
             "is_fetching" => self.exchange.is_fetching());
     }
 
-    /// Says for which services repeats were refused since the last time, and by which figures.
+    /// Logs the services whose repeats were refused since the last call, with the state of their budgets.
     fn log_repeats(&mut self, now: Time) {
         let mut refused = Vec::new();
         self.services.for_each(|service, scope, it| {
@@ -176,8 +180,8 @@
                 Scope::Alone => Some(&state.direct),
             };
             let is_in_charge = dispatcher.is_some_and(|it| it.is_in_charge(now));
-            // What a node believes of an endpoint whose slots it does not hand out changes nothing. On the users'
-            // largest site such lines were most of 91,000 in half a minute.
+            // The belief of a dispatcher that hands out no slots has no effect, so its changes are not logged. On
+            // the largest site such lines were most of 91,000 lines in half a minute.
             if is_in_charge {
                 info!(self.log, "endpoint state"; "service" => state.service.name.as_str(),
                     "endpoint" => it.id.as_str(), "addr" => %it.addr, "from" => it.from.name(),
@@ -197,7 +201,7 @@
         self.exchange.tell(now, Verdict { endpoint, valid_ms });
     }
 
-    /// Renews the slots that this node's requests use and the verdicts that still hold.
+    /// Renews the permits of this node's open requests, and sends the verdicts that still hold again.
     pub(super) fn renew(&mut self, now: Time) {
         let mut by_node: FxHashMap<NodeId, Vec<PermitId>> = FxHashMap::default();
         let mut here = Vec::new();
@@ -231,6 +235,7 @@
         }
     }
 
+    /// The phase that this node announces to the other nodes.
     fn phase(&self, now: Time) -> Phase {
         let age = now.since(Time(0));
         match self.exchange.replica().facts().version {
@@ -242,6 +247,7 @@
         }
     }
 
+    /// Sends the current read plan to the reader task. The task is woken only if the part to read has changed.
     pub(super) fn set_reads(&self, now: Time) {
         self.outputs.shared.set_fresh(self.exchange.duty().is_fresh(now));
         let reads = self.exchange.duty().reads(now);
