--- a/crates/dappleway/src/ask.rs
+++ b/crates/dappleway/src/ask.rs
@@ -1,4 +1,4 @@
-//! What the command line asks a running node, and how the answers are shown.
+//! Command-line queries to the operator API of a running node, and the output of their results.
 
 use std::fmt::Display;
 use std::io::{self, Write};
@@ -10,32 +10,32 @@
 use serde::Serialize;
 use tabwriter::TabWriter;
 
-/// A watch is asked again after this long without news; nodes let it wait for a minute at most.
+/// Time after which a watch request without a new version is sent again; nodes hold one for at most a minute.
 const WATCH: Duration = Duration::from_secs(30);
 
-/// Form of an answer.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Output {
     /// A table for people.
     Table,
-    /// JSON for programs, one document a line.
+    /// JSON for programs, one document per line.
     Json,
 }
 
-/// Why a question has no answer.
+/// Why a query failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// The node knows nothing of the kind.
+    /// The requested object does not exist at the node.
     #[error("{0}")]
     NotFound(String),
-    /// The node refuses to answer.
+    /// The node refused the request.
     #[error("{0}")]
     Refused(ClientError),
-    /// The node does not answer.
+    /// The node could not be reached or did not answer properly.
     #[error("{0}")]
     Unreachable(ClientError),
-    /// The answer cannot be written.
-    #[error("the answer cannot be written ({0})")]
+    /// The output could not be written.
+    #[error("cannot write the output: {0}")]
     Output(#[from] io::Error),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Shows resources in force.
+/// Prints resources in force.
 pub async fn get(
     client: Client,
     kind: Option<&str>,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Shows the fleet as the node sees it.
+/// Prints the fleet as the node sees it.
 pub async fn fleet(client: Client, output: Output) -> Result<(), Failure> {
     let report = client.fleet().await?;
     if output == Output::Json {
@@ -117,7 +117,7 @@
     endpoints(report.services.iter().flat_map(|it| it.endpoints.iter().map(move |e| (it, e))))
 }
 
-/// Shows why an endpoint is used as it is.
+/// Prints the state of an endpoint and the reasons for it.
 pub async fn explain(client: Client, subject: &str, output: Output) -> Result<(), Failure> {
     let report = client.fleet().await?;
     let is_meant = |it: &EndpointReport| it.id == subject || it.addr == subject;
@@ -130,7 +130,7 @@
     if found.is_empty() {
         let node = client.addr;
         return Err(Failure::NotFound(format!(
-            "{subject}: no endpoint at {node}: it has left, or another identity has its address"
+            "{subject}: no such endpoint at {node}: it has left, or its address now belongs to another id"
         )));
     }
     if output == Output::Json {
@@ -143,19 +143,23 @@
     Ok(())
 }
 
-/// Why an endpoint is used as it is, in words.
+/// Explains the state of an endpoint in plain text.
 fn why(report: &Report, service: &ServiceReport, it: &EndpointReport) -> String {
     let failed = match it.failed_ms {
         Some(ms) => format!("its last known failure was {ms} ms ago"),
-        None => "no failure of it is known".to_owned(),
+        None => "no failure is known".to_owned(),
     };
     let dispatcher = service.dispatched_by.as_deref().unwrap_or("nobody");
     let whose = match it.dispatched_here {
-        true => "this node hands out its slots, so this is what counts".to_owned(),
-        false => format!("{dispatcher} hands out its slots: ask that node for what counts"),
+        true => "this node hands out its slots, so this state is authoritative".to_owned(),
+        false => {
+            format!("{dispatcher} hands out its slots: ask that node for the authoritative state")
+        }
     };
     let limit = match it.limit_per_s {
-        Some(per_s) => format!(" It takes {per_s} requests a second from all nodes together."),
+        Some(per_s) => {
+            format!(" Its rate limit is {per_s} requests a second for all nodes together.")
+        }
         None => String::new(),
     };
     format!(
@@ -244,7 +248,7 @@
     table.print()
 }
 
-/// Columns aligned by their widest cell.
+/// A table whose columns are aligned when it is printed.
 struct Table(TabWriter<Vec<u8>>);
 
 impl Table {
--- a/crates/dappleway/src/cli.rs
+++ b/crates/dappleway/src/cli.rs
@@ -14,17 +14,17 @@
 use crate::settings::{self, Settings};
 use crate::{check, explain, node};
 
-/// Exit code for a node that cannot start, fails or cannot be reached.
+/// Exit code if a node cannot start, fails or cannot be reached.
 const FAILED: u8 = 1;
-/// Exit code for arguments, settings, resources or tokens that are refused.
+/// Exit code if arguments, settings, resources or a token are rejected.
 const REFUSED: u8 = 2;
-/// Exit code for what was asked for and does not exist.
+/// Exit code if the requested object does not exist.
 const NOT_FOUND: u8 = 3;
 
-/// A proxy fleet for upstreams that fail gray.
+/// A fleet of HTTP proxies for upstreams with gray failures.
 ///
-/// Exit codes: 0 all is well; 1 a node cannot start, fails or cannot be reached; 2 arguments, settings,
-/// resources or a token are refused; 3 what was asked for does not exist.
+/// Exit codes: 0 success; 1 a node cannot start, fails or cannot be reached; 2 arguments, settings, resources or
+/// a token are rejected; 3 the requested object does not exist.
 #[derive(Debug, Parser)]
 #[command(name = "dappleway", version)]
 struct Cli {
@@ -34,23 +34,23 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Runs one node until SIGTERM, then lets every request in flight end.
+    /// Runs one node until SIGTERM, then completes the requests in flight.
     Run {
-        /// The settings, in TOML.
+        /// Settings file, in TOML.
         #[arg(long, env = "DAPPLEWAY_SETTINGS")]
         settings: PathBuf,
     },
     /// Checks settings (`.toml`) and resources (`.json`); prints every problem with its remedy.
     Check {
-        /// The files. All resources together must form one valid configuration.
+        /// Files to check. All resources together must form one valid configuration.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
     /// Shows the resources in force at a node.
     Get {
-        /// `Service`, `Route` or another kind; all kinds if absent.
+        /// Kind of the resources, such as `Service` or `Route`; all kinds if absent.
         kind: Option<String>,
-        /// One resource of that kind.
+        /// Name of one resource of that kind.
         #[arg(requires = "kind")]
         name: Option<String>,
         #[command(flatten)]
@@ -58,10 +58,10 @@
     },
     /// Prints a line for each configuration that comes into force at a node.
     Watch {
-        /// Begin after this version; without it the version in force is printed first.
+        /// Print only versions after this one; by default the version in force is printed first.
         #[arg(long, default_value_t = 0)]
         after: u64,
-        /// End once this version or a later one is in force.
+        /// Exit once this version or a later one is in force.
         #[arg(long)]
         until: Option<u64>,
         #[command(flatten)]
@@ -72,43 +72,43 @@
         #[command(flatten)]
         target: Target,
     },
-    /// Tells the story of a request from logs (`--logs FILE… REQUEST-ID`), or why an endpoint is used
-    /// as it is (`ENDPOINT`).
+    /// Shows the log lines about a request (`--logs FILE… REQUEST-ID`), or the state of an endpoint and its
+    /// reasons (`ENDPOINT`).
     Explain {
         /// Log files, of all nodes if possible.
         #[arg(long, num_args = 1..)]
         logs: Vec<PathBuf>,
-        /// Identity of the request, as the caller sent or got it, or identity or address of an endpoint.
+        /// Id of the request, as the caller sent or received it, or id or address of an endpoint.
         subject: Option<String>,
         #[command(flatten)]
         target: Target,
     },
-    /// Reads an API key from standard input and prints its digest, which a document may hold in its place.
+    /// Reads an API key from standard input and prints its digest, which resources may contain instead of the key.
     Key,
-    /// Prints settings that pass all checks, as a start for one's own.
+    /// Prints example settings that pass all checks, as a starting point.
     Settings,
     /// Prints a completion script for a shell.
     Completions {
-        /// The shell.
+        /// Shell to print the script for.
         shell: Shell,
     },
 }
 
-/// The node that is asked, and how its answer is shown.
+/// The node to query, and the output format.
 #[derive(Debug, Args)]
 struct Target {
     /// Address of the node's operator API.
     #[arg(long, env = "DAPPLEWAY_NODE", default_value = "127.0.0.1:7480")]
     node: SocketAddr,
-    /// File with the token of the API.
+    /// File with the token of the operator API.
     #[arg(long, env = "DAPPLEWAY_TOKEN_FILE")]
     token_file: Option<PathBuf>,
-    /// Form of the answer.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = Output::Table)]
     output: Output,
 }
 
-/// Runs the command line.
+/// Parses and executes the command line.
 pub fn main() -> ExitCode {
     match Cli::parse().command {
         Command::Run { settings } => run(&settings),
@@ -137,7 +137,7 @@
     }
 }
 
-/// A key given as an argument would show in the list of processes.
+/// Prints the digest of a key from standard input. A key given as an argument would be visible in the process list.
 fn digest() -> ExitCode {
     let mut text = Zeroizing::new(String::new());
     match std::io::stdin().read_line(&mut text) {
@@ -170,14 +170,14 @@
     }
 }
 
-/// With `--logs` the subject may also stand last among the files, as a shell expands `*.log`.
+/// With `--logs` the subject may also come last after the files: `--logs` takes all arguments that follow.
 fn explain(mut logs: Vec<PathBuf>, subject: Option<String>, target: &Target) -> ExitCode {
     let subject = subject.or_else(|| match logs.len() {
         0 | 1 => None,
         _ => logs.pop().map(|it| it.display().to_string()),
     });
     let Some(subject) = subject else {
-        return refuse(["name a request, with --logs FILE…, or an endpoint".to_owned()]);
+        return refuse(["give the id of a request with --logs FILE…, or an endpoint".to_owned()]);
     };
     if logs.is_empty() {
         return target.ask(|it, output| ask::explain(it, &subject, output));
@@ -188,7 +188,7 @@
             ExitCode::SUCCESS
         }
         Ok(None) => {
-            eprintln!("{subject}: no line names it: give the logs of all nodes of that time");
+            eprintln!("{subject}: no log line about it: give the logs of all nodes of that time");
             ExitCode::from(NOT_FOUND)
         }
         Err(problem) => refuse([problem]),
--- a/crates/dappleway/src/explain.rs
+++ b/crates/dappleway/src/explain.rs
@@ -1,11 +1,11 @@
-//! `dappleway explain`: the story of one request from the logs of any number of nodes.
+//! `dappleway explain --logs`: collects the log lines about one request from the logs of any number of nodes.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
 use serde_json::Value;
 
-/// Fields that every line has or that only machines read.
+/// Fields that are not printed as `name=value`: fields that every line has, and fields for programs.
 const LEFT_OUT: [&str; 8] = ["msg", "level", "ts", "node", "request_id", "trace", "span", "parent"];
 
 /// One log line.
@@ -18,9 +18,9 @@
 }
 
 impl Line {
-    /// Nothing for text that is no record; programs may print other things too.
+    /// Parses a log line; returns `None` for text that is not a log record, such as other output of a program.
     fn parse(text: &str) -> Option<Self> {
-        // A collector may put its own words before the record.
+        // A log collector may put a prefix before the record.
         let record: Value = serde_json::from_str(&text[text.find('{')?..]).ok()?;
         let field = |name: &str| Some(record.get(name)?.as_str()?.to_owned());
         Some(Self { ts: field("ts")?, node: field("node")?, msg: field("msg")?, record })
@@ -38,8 +38,8 @@
     }
 }
 
-/// The lines about a request in order, and what the nodes believed of its endpoints from the first
-/// of these lines to the last. Nothing if no line names it.
+/// Returns the lines about a request in the order of their time, together with the state changes of its endpoints
+/// between the first and the last of these lines. Returns `None` if no line is about the request.
 pub fn explain(files: &[PathBuf], id: &str) -> Result<Option<Vec<String>>, String> {
     let mut lines = Vec::new();
     for path in files {
--- a/crates/dappleway/src/logging.rs
+++ b/crates/dappleway/src/logging.rs
@@ -1,4 +1,5 @@
-//! Logs as JSON lines on standard output: bounded by kind, never blocking the thread that logs.
+//! Logging as JSON lines on standard output. The rate of each kind of line is limited, and logging never blocks the
+//! calling thread.
 
 mod budget;
 
@@ -14,14 +15,14 @@
 
 pub use budget::Budget;
 
-/// Lines that may wait for standard output. At the budget of all kinds together it is a few seconds.
+/// Maximum number of lines queued for standard output: a few seconds of lines if all kinds use up their budgets.
 const QUEUE: usize = 4_096;
-/// Time to write out what waits when the process ends.
+/// Timeout for writing out the queue when the process ends.
 const FLUSH: Duration = Duration::from_millis(500);
-/// How often it is told what was left out.
+/// Interval at which dropped lines are reported.
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 
-/// The least severity that is logged; it can change while the process runs.
+/// The lowest severity that is logged; it can be changed while the process runs.
 #[derive(Clone, Debug)]
 pub struct LevelSwitch(Arc<AtomicUsize>);
 
@@ -30,7 +31,7 @@
         Self(Arc::new(AtomicUsize::new(severity(level).as_usize())))
     }
 
-    /// Logs records of this severity and above from now on.
+    /// From now on, logs records of this severity and above.
     pub fn set(&self, level: Level) {
         self.0.store(severity(level).as_usize(), Ordering::Relaxed);
     }
@@ -40,23 +41,23 @@
     }
 }
 
-/// The logger of a process.
+/// The logger of a process and its controls.
 pub struct Logging {
-    /// Logs to standard output.
+    /// Logger to standard output.
     pub log: Logger,
-    /// Changes the least severity.
+    /// Changes the lowest severity that is logged.
     pub level: LevelSwitch,
-    /// Bounds the lines of each kind.
+    /// Limits the lines of each kind.
     pub budget: Arc<Budget>,
-    /// Keeps the writing thread; see `flush`.
+    /// Keeps the writing thread running; see `flush`.
     pub guard: AsyncGuard,
 }
 
 impl Logging {
-    /// A logger of the node at `node`; what is left out is counted in `registry`.
+    /// Creates the logger of the node at address `node`; dropped lines are counted in `registry`.
     pub fn new(settings: &Log, node: &str, registry: &Registry) -> prometheus::Result<Self> {
         let name = "dappleway_log_lines_left_out_total";
-        let help = "Log lines left out, by reason: the budget of their kind, or a full queue.";
+        let help = "Dropped log lines, by reason: the budget of their kind, or a full queue.";
         let left_out = IntCounterVec::new(Opts::new(name, help), &["reason"])?;
         registry.register(Box::new(left_out.clone()))?;
         let level = LevelSwitch::new(settings.level);
@@ -69,14 +70,14 @@
     }
 }
 
-/// Passes records on while their kind's budget and the queue allow it, and counts the others.
+/// Queues records within the budget of their kind, and drops and counts the others.
 struct Bounded {
     queue: AsyncCore,
     level: LevelSwitch,
     budget: Arc<Budget>,
 }
 
-// Counts of lines stay usable whatever panics between them.
+// A panic leaves the line counts in a usable state.
 impl std::panic::RefUnwindSafe for Bounded {}
 impl std::panic::UnwindSafe for Bounded {}
 
@@ -98,19 +99,19 @@
     }
 }
 
-/// Writes out what waits, but not for longer than `FLUSH` if nobody reads standard output.
+/// Writes out the queued lines, with a timeout in case nobody reads standard output.
 pub fn flush(guard: AsyncGuard) {
     let (done, is_done) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         drop(guard);
-        // The process may have ended already.
+        // The receiver may have timed out already.
         let _ = done.send(());
     });
-    // Running out of time is the other way to go on: the process ends without its last lines.
+    // After a timeout the process ends without writing its last lines.
     let _ = is_done.recv_timeout(FLUSH);
 }
 
-/// Says every second, in lines of their own, how many lines of each kind were left out.
+/// Logs every second how many lines of each kind were dropped.
 pub async fn report_left_out(budget: Arc<Budget>, log: Logger) {
     let mut due = tokio::time::interval(REPORT_EVERY);
     loop {
--- a/crates/dappleway/src/logging/budget.rs
+++ b/crates/dappleway/src/logging/budget.rs
@@ -1,5 +1,5 @@
-//! How many log lines of a kind there may be in a second. A kind is the text of a record and its
-//! severity, so that failures are not left out for the sake of what went well.
+//! Limits the number of log lines of each kind in a second. A kind is the message and the severity of a record, so
+//! that lines about successful requests do not displace lines about failed ones.
 
 use std::time::Instant;
 
@@ -10,14 +10,15 @@
 
 use crate::settings::Log;
 
-/// Kind of records whose text is not fixed, as of libraries.
+/// Kind of records whose message is not a constant, such as those of libraries.
 const OTHER: &str = "other";
-/// Kind that stands for lines which found the queue full.
+/// Kind under which lines are counted that were dropped because the queue was full.
 const QUEUE_FULL: &str = "any, because standard output is not read";
-/// The line of a request that was answered well; the only kind with a budget of its own.
+/// Message of the line about a request. At severity `Info` the request was answered successfully, and this kind has a
+/// limit of its own.
 const REQUEST: &str = "request";
 
-/// Bounds the lines of each kind and counts those left out.
+/// Limits the lines of each kind and counts the dropped ones.
 #[derive(Debug)]
 pub struct Budget {
     per_s: f64,
@@ -26,7 +27,7 @@
     left_out: IntCounterVec,
 }
 
-/// A bucket that holds the lines of one second.
+/// A token bucket whose capacity is the lines of one second.
 #[derive(Debug)]
 struct Kind {
     tokens: f64,
@@ -34,19 +35,19 @@
     left_out: u64,
 }
 
-/// Lines of one kind that were left out.
+/// Number of dropped lines of one kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeftOut {
-    /// Their text.
+    /// Message of the lines.
     pub kind: &'static str,
-    /// Their severity.
+    /// Severity of the lines.
     pub severity: Level,
-    /// How many.
+    /// Number of lines.
     pub lines: u64,
 }
 
 impl Budget {
-    /// A budget of the size that the settings say; `left_out` counts by reason.
+    /// Creates a budget with the limits of `settings`; `left_out` counts dropped lines by reason.
     pub fn new(settings: &Log, left_out: IntCounterVec) -> Self {
         Self {
             per_s: settings.lines_per_s.into(),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether a record is to be logged; if not, it is counted.
+    /// Whether a record may be logged; a record that may not is counted as dropped.
     pub fn admits(&self, record: &Record<'_>) -> bool {
         let text = record.msg().as_str().unwrap_or(OTHER);
         let is_admitted = self.admits_kind(text, record.level(), Instant::now());
@@ -66,7 +67,7 @@
         is_admitted
     }
 
-    /// Counts a line that was left out because the queue is full.
+    /// Counts a line that was dropped because the queue is full.
     pub fn queue_was_full(&self) {
         self.left_out.with_label_values(&["queue"]).inc();
         let mut kinds = self.kinds.lock();
@@ -74,7 +75,7 @@
         kind.left_out += 1;
     }
 
-    /// Lines left out since the last call, by kind.
+    /// Returns the dropped lines since the last call, by kind.
     pub fn take_left_out(&self) -> Vec<LeftOut> {
         let mut kinds = self.kinds.lock();
         let taken = kinds.iter_mut().map(|((kind, severity), it)| LeftOut {
--- a/crates/dappleway/src/settings.rs
+++ b/crates/dappleway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a process: TOML, checked as a whole before anything starts.
+//! Settings of a process, in TOML. All settings are checked before anything starts.
 
 mod check;
 mod defaults;
@@ -13,12 +13,12 @@
 pub use keys::changed_keys;
 pub use model::{Fleet, Level, Log, Mode, Node, Operator, Platform, Settings, Traffic};
 
-/// One reason why settings are refused.
+/// A reason why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// The key, such as `traffic.listen`.
+    /// The key, such as `traffic.listen`, or `(file)`, `(syntax)` or `(value)` if no key is known.
     pub key: String,
-    /// What to write instead.
+    /// How to correct the problem.
     pub remedy: String,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Reads and checks settings; all problems are returned at once.
+/// Reads and checks a settings file; returns all problems at once.
 pub fn load(path: &Path) -> Result<Settings, Vec<SettingsProblem>> {
     let text = std::fs::read_to_string(path).map_err(|it| {
         vec![problem("(file)", format!("{}: {it}: name a file that can be read", path.display()))]
--- a/crates/dappleway/src/settings/check.rs
+++ b/crates/dappleway/src/settings/check.rs
@@ -1,9 +1,9 @@
-//! Parsing and checks; all problems of a file are named at once, each with its remedy.
+//! Parsing and validation of settings. All problems of a file are reported at once, each with its remedy.
 
 use super::keys::unknown_keys;
 use super::{Fleet, Node, Operator, Platform, Settings, SettingsProblem, Traffic, problem};
 
-/// Parses and checks settings; all problems are returned at once.
+/// Parses and checks settings; returns all problems at once.
 pub fn parse(text: &str) -> Result<Settings, Vec<SettingsProblem>> {
     let table: toml::Table = text
         .parse()
@@ -23,8 +23,8 @@
     Err(problems)
 }
 
-/// Sections that are absent though they must not be, and those with a value of the wrong form; each
-/// section is read by itself, so that all of them are named at once.
+/// Returns required sections that are missing, and sections with a value of the wrong type. Each section is
+/// deserialized separately, so that the problems of all sections are reported.
 fn wrong_values(table: &toml::Table) -> Vec<SettingsProblem> {
     let mut problems = Vec::new();
     wrong_value::<Node>(table, "node", &mut problems);
@@ -44,7 +44,7 @@
         problems.push(problem(section, format!("the section is missing: add [{section}]")));
         return;
     };
-    // Unknown keys are named elsewhere, with the nearest known one.
+    // `unknown_keys` reports unknown keys together with the nearest known key.
     if let Err(it) = value.clone().try_into::<T>()
         && !it.message().starts_with("unknown field")
     {
--- a/crates/dappleway/src/settings/defaults.rs
+++ b/crates/dappleway/src/settings/defaults.rs
@@ -1,94 +1,95 @@
-//! Defaults of the settings, each with where its figure comes from.
+//! Default values of the settings, each with its reason.
 
 use resources::Floor;
 
-/// The users' bound on what a node takes at the size designed for.
+/// The operators' limit on the memory of a node in a fleet of the designed size.
 pub(super) fn memory_mb() -> u32 {
     256
 }
 
-/// One to accept while another sends; a VM of today has less than one core.
+/// One thread can accept connections while the other sends; current VMs have less than one core.
 pub(super) fn threads() -> usize {
     2
 }
 
-/// The users' bound on request bodies.
+/// The operators' limit on request bodies.
 pub(super) fn max_body_bytes() -> u64 {
     64 * 1024 * 1024
 }
 
-/// Below the descriptors of the users' smallest VMs, 4,100.
+/// Just below the limit of 4,100 file descriptors on the smallest VMs in use.
 pub(super) fn max_in_flight() -> usize {
     4_096
 }
 
-/// Several times what a caller on a slow line needs for a form.
+/// Several times what a caller on a slow connection needs to submit a form.
 pub(super) fn read_timeout_ms() -> u64 {
     10_000
 }
 
-/// A connection takes about 1 ms; the rest is for a lost first packet.
+/// Connecting takes about 1 ms; the remainder allows for the loss of the first packet.
 pub(super) fn connect_timeout_ms() -> u64 {
     250
 }
 
-/// The users' rule for both sites.
+/// The operators' rule for both of their sites.
 pub(super) fn floor() -> Floor {
     Floor::Percent(70)
 }
 
-/// A round trip between failure domains takes 1 to 3 ms, a late scheduler of a fifth of a core adds
-/// some tens.
+/// A round trip between failure domains takes 1 to 3 ms; scheduling delays of a node with a fifth of a core add
+/// some tens of milliseconds.
 pub(super) fn ask_timeout_ms() -> u64 {
     40
 }
 
-/// The users' bound on both sites.
+/// The operators' limit on both of their sites.
 pub(super) fn repeat_ratio() -> f64 {
     0.2
 }
 
-/// The users' bound at the smaller of their sites.
+/// The operators' limit on the smaller of their sites.
 pub(super) fn repeat_extra() -> f64 {
     58.0
 }
 
-/// The window over which the users' bounds hold.
+/// The window to which the operators' limits on repeats apply.
 pub(super) fn repeat_window_ms() -> u64 {
     10_000
 }
 
-/// The balancer asks every second and gives up on a node after two misses.
+/// The balancer probes readiness every second and removes a node after two failed probes.
 pub(super) fn lag_ms() -> u64 {
     5_000
 }
 
-/// Above all requests of a node at the size designed for, 61 a second, so that every failure is logged.
+/// More than the 61 requests a second of a node in a fleet of the designed size, so that every failure is logged.
 pub(super) fn lines_per_s() -> u32 {
     200
 }
 
-/// All requests of a node on the users' sites, 3 a second, and a third at the size designed for.
+/// More than the 3 requests a second of a node on the operators' sites, and a third of the requests of a node in
+/// a fleet of the designed size.
 pub(super) fn healthy_requests_per_s() -> u32 {
     20
 }
 
-/// Long enough for the longest download that is usual.
+/// Long enough for the longest common download.
 pub(super) fn grace_ms() -> u64 {
     120_000
 }
 
-/// A usual link between machines; what a VM has, its settings say.
+/// A common link speed; the settings of a VM with another link state its speed.
 pub(super) fn link_mbps() -> f64 {
     1_000.0
 }
 
-/// The smallest usual VM.
+/// The smallest common VM.
 pub(super) fn cores() -> f64 {
     1.0
 }
 
-/// Nothing else runs beside a node.
+/// By default nothing else runs on the VM of a node.
 pub(super) fn cpu_share() -> f64 {
     1.0
 }
--- a/crates/dappleway/src/settings/keys.rs
+++ b/crates/dappleway/src/settings/keys.rs
@@ -1,8 +1,8 @@
-//! Keys of the settings: those that no setting has, and those whose values differ.
+//! Comparison of settings by key: changed keys and unknown keys.
 
 use super::{Settings, SettingsProblem, problem};
 
-/// The keys, as `log.level`, whose values differ.
+/// Returns the keys, such as `log.level`, whose values differ.
 pub fn changed_keys(old: &Settings, new: &Settings) -> Vec<String> {
     let table = |it: &Settings| toml::Table::try_from(it).expect("settings are plain data");
     let (old, new) = (table(old), table(new));
@@ -20,7 +20,7 @@
     changed
 }
 
-/// Keys that no setting has, each with the nearest one that exists.
+/// Reports keys that do not exist, each with the nearest existing key.
 pub(super) fn unknown_keys(table: &toml::Table) -> Vec<SettingsProblem> {
     let known = toml::Table::try_from(Settings::example()).expect("the example is plain data");
     let mut problems = Vec::new();
--- a/crates/dappleway/src/settings/model.rs
+++ b/crates/dappleway/src/settings/model.rs
@@ -1,4 +1,4 @@
-//! What can be set, section by section.
+//! The sections of the settings and their keys.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,66 +16,68 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who this node is.
+    /// Identity and resources of this node.
     pub node: Node,
     /// The listener for callers.
     pub traffic: Traffic,
-    /// The API for operators.
+    /// The operator API.
     pub operator: Operator,
-    /// The platform.
+    /// Access to the platform.
     pub platform: Platform,
-    /// The other nodes.
+    /// The exchange with other nodes.
     pub fleet: Fleet,
-    /// How slots are handed out.
+    /// Dispatch of requests to endpoints.
     #[serde(default)]
     pub dispatch: Dispatch,
-    /// A planned stop.
+    /// The planned stop.
     #[serde(default)]
     pub drain: Drain,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: Log,
 }
 
-/// Who this node is.
+/// Identity and resources of this node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Address of the exchange with other nodes, UDP and TCP.
+    /// Address for the exchange with other nodes, over UDP and TCP.
     pub addr: SocketAddr,
     /// The failure domain that the VM runs in.
     pub failure_domain: String,
-    /// What the VM's link carries, in Mbit/s. It bounds what peers are sent at once, and nodes with more of it
-    /// read the platform first.
+    /// Bandwidth of the VM's link, in Mbit/s. It bounds the data sent to peers at the same time, and nodes with more
+    /// bandwidth are preferred as readers of the platform.
     #[serde(default = "defaults::link_mbps")]
     pub link_mbps: f64,
-    /// Cores of the VM.
+    /// Number of cores of the VM.
     #[serde(default = "defaults::cores")]
     pub cores: f64,
-    /// The part of its cores that this process may use, 1.0 for all. Nodes with more of them hand out slots first.
+    /// Share of the VM's cores that this process may use; 1.0 for all. Nodes with more CPU are preferred as
+    /// dispatchers.
     #[serde(default = "defaults::cpu_share")]
     pub cpu_share: f64,
-    /// Memory that this process may use, in MB. An eighth of it is for long bodies that are held for another send.
+    /// Memory that this process may use, in MB. An eighth of the memory is reserved for long request bodies that are
+    /// kept for another send.
     #[serde(default = "defaults::memory_mb")]
     pub memory_mb: u32,
-    /// The region of each failure domain; those that are left out count as near each other.
+    /// The region of each failure domain. A failure domain that is not listed counts as near all others.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
 }
 
 impl Node {
-    /// Memory for long bodies that are held for another send, in bytes.
+    /// Memory for long request bodies that are kept for another send, in bytes.
     pub fn held_body_bytes(&self) -> usize {
         self.memory_mb as usize * 1024 * 1024 / 8
     }
 
-    /// Which failure domain is in which region.
+    /// The mapping of failure domains to regions.
     pub fn topology(&self) -> Topology {
         let all = self.regions.iter();
         Topology::new(all.map(|(domain, region)| (domain.as_str(), region.as_str())))
     }
 
-    /// What the VM has, as other nodes are told.
+    /// CPU and bandwidth of this node, as announced to other nodes.
     pub fn capacity(&self) -> Capacity {
         let millicores = (self.cores * self.cpu_share * 1e3) as u32;
         Capacity { millicores, link_mbps: self.link_mbps as u32 }
@@ -86,98 +88,98 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Address for callers.
+    /// Address of the listener for callers.
     pub listen: SocketAddr,
-    /// Threads for traffic.
+    /// Number of threads that handle traffic.
     #[serde(default = "defaults::threads")]
     pub threads: usize,
-    /// Longest request body in bytes.
+    /// Maximum length of a request body, in bytes.
     #[serde(default = "defaults::max_body_bytes")]
     pub max_body_bytes: u64,
-    /// Requests in flight; further ones are refused at once.
+    /// Maximum number of requests in flight; further requests are refused at once.
     #[serde(default = "defaults::max_in_flight")]
     pub max_in_flight: usize,
-    /// Time for a request's head and for the part of its body that is read before it is sent.
+    /// Timeout for reading the head of a request and the part of the body that is read before the request is sent.
     #[serde(default = "defaults::read_timeout_ms")]
     pub read_timeout_ms: u64,
-    /// Time for a new connection to an upstream.
+    /// Timeout for connecting to an upstream.
     #[serde(default = "defaults::connect_timeout_ms")]
     pub connect_timeout_ms: u64,
 }
 
-/// The API for operators.
+/// The operator API.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
     /// Address of the API.
     pub listen: SocketAddr,
-    /// File with the token that callers of the API must send, of 16 bytes or more. Without one only
-    /// liveness, readiness and metrics answer beyond this VM.
+    /// File with the token, of 16 bytes or more, that requests to the API must carry. Without a token, only
+    /// liveness, readiness and metrics are served to other VMs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token_file: Option<PathBuf>,
-    /// Whether operators may induce faults; for test fleets only.
+    /// Whether operators may inject faults; for test fleets only.
     #[serde(default)]
     pub fault_injection: bool,
 }
 
-/// The platform.
+/// Access to the platform, and defaults for its services.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Address of its store.
+    /// Address of the platform's store.
     pub addr: SocketAddr,
-    /// Healthy capacity that ejections never go below, for services that do not say.
+    /// Healthy capacity below which no endpoint is ejected, for services that do not specify it.
     #[serde(default = "defaults::floor")]
     pub floor: Floor,
-    /// Trade of detection speed against false ejections, for services that do not say.
+    /// Trade-off between detection speed and false ejections, for services that do not specify it.
     #[serde(default)]
     pub bias: Bias,
 }
 
-/// The other nodes.
+/// The exchange with other nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// File with the fleet's secret, of 16 bytes or more. Without one frames are only checked for
-    /// damage, and the network between nodes must keep strangers out.
+    /// File with the fleet's secret, of 16 bytes or more. Without a secret, frames are only checked for damage, and
+    /// the network between nodes must be closed to others.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_file: Option<PathBuf>,
-    /// File with a secret that is accepted too while the secret is replaced.
+    /// File with a second secret that is accepted while the secret is being replaced.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub also_accept_key_file: Option<PathBuf>,
-    /// Nodes to ask for others at the start; they may be stale or down.
+    /// Nodes from which this node learns of other nodes when it starts. Some of them may be gone or down.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Port of the exchange at the seeds, if their addresses are those of another service of theirs.
+    /// Exchange port of the seeds, if the ports in `seeds` belong to another service of these nodes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed_port: Option<u16>,
 }
 
 impl Fleet {
-    /// Addresses of the seeds' exchange.
+    /// Exchange addresses of the seeds.
     pub fn seed_addrs(&self) -> Vec<SocketAddr> {
         let port = |it: &SocketAddr| self.seed_port.unwrap_or(it.port());
         self.seeds.iter().map(|it| SocketAddr::new(it.ip(), port(it))).collect()
     }
 }
 
-/// How slots are handed out.
+/// Dispatch of requests to endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Dispatch {
-    /// The way of dispatch.
+    /// The dispatch mode.
     #[serde(default)]
     pub mode: Mode,
-    /// An ask to another node that is not answered for this long is lost.
+    /// Time after which an unanswered ask to another node counts as lost.
     #[serde(default = "defaults::ask_timeout_ms")]
     pub ask_timeout_ms: u64,
-    /// Repeats and hedges of a service for each of its requests, over the whole fleet and any window.
+    /// Repeats and hedges allowed for each request to a service, over the whole fleet and any window.
     #[serde(default = "defaults::repeat_ratio")]
     pub repeat_ratio: f64,
-    /// Repeats and hedges of a service beyond that, over the whole fleet and any window.
+    /// Repeats and hedges of a service allowed in addition, over the whole fleet and any window.
     #[serde(default = "defaults::repeat_extra")]
     pub repeat_extra: f64,
-    /// Length of the window.
+    /// Length of the window of `repeat_ratio` and `repeat_extra`.
     #[serde(default = "defaults::repeat_window_ms")]
     pub repeat_window_ms: u64,
 }
@@ -195,39 +197,39 @@
 }
 
 impl Dispatch {
-    /// Size of the budget for repeats.
+    /// Limits of the budget for repeats.
     pub fn budget(&self) -> BudgetLimits {
         let window = Duration::from_millis(self.repeat_window_ms);
         BudgetLimits { ratio: self.repeat_ratio, extra: self.repeat_extra, window }
     }
 }
 
-/// The way of dispatch.
+/// The dispatch mode.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// One node for each service hands out the slots.
+    /// For each service, one node hands out the slots to all nodes.
     #[default]
     Permits,
-    /// Each node picks for itself and heeds the verdicts of the others.
+    /// Each node picks endpoints itself and follows the verdicts of the other nodes.
     Direct,
-    /// Each node picks for itself and judges alone. A baseline for measurements.
+    /// Each node picks endpoints itself and uses its own observations only. A baseline for measurements.
     Local,
-    /// Round robin that ejects nobody. A baseline for measurements.
+    /// Round robin without ejection. A baseline for measurements.
     RoundRobin,
-    /// Round robin that ejects an endpoint for 30 s after five failures in a row, a tenth of the
-    /// endpoints at most. A baseline for measurements.
+    /// Round robin that ejects an endpoint for 30 s after five consecutive failures, a tenth of the endpoints at
+    /// most. A baseline for measurements.
     Consecutive,
 }
 
-/// A planned stop.
+/// The planned stop.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// Time that the balancer needs to notice that readiness has turned red.
+    /// Time that the balancer needs to notice that this node is not ready.
     #[serde(default = "defaults::lag_ms")]
     pub lag_ms: u64,
-    /// Time from the signal to the end of the process, whatever is still open.
+    /// Time from the signal after which the process ends even if requests are in flight.
     #[serde(default = "defaults::grace_ms")]
     pub grace_ms: u64,
 }
@@ -238,17 +240,17 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
-    /// Least severity that is logged.
+    /// Lowest severity that is logged.
     #[serde(default)]
     pub level: Level,
-    /// Lines of each kind in a second; further ones are counted and left out.
+    /// Maximum number of lines of each kind in a second; further lines are dropped and counted.
     #[serde(default = "defaults::lines_per_s")]
     pub lines_per_s: u32,
-    /// The same for requests that were answered well.
+    /// The same limit for lines about requests that were answered successfully.
     #[serde(default = "defaults::healthy_requests_per_s")]
     pub healthy_requests_per_s: u32,
 }
@@ -263,7 +265,7 @@
     }
 }
 
-/// Severity.
+/// Severity of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
@@ -274,12 +276,12 @@
     /// Normal operation.
     #[default]
     Info,
-    /// Each request and each send, with spans.
+    /// Every request and every send, with spans.
     Debug,
 }
 
 impl Settings {
-    /// Settings that pass all checks, as a start for one's own.
+    /// Example settings that pass all checks, as a starting point.
     pub fn example() -> Self {
         let local = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
         Self {
@@ -322,12 +324,12 @@
         }
     }
 
-    /// The balancer's lag.
+    /// Time that the balancer needs to notice that this node is not ready.
     pub fn lag(&self) -> Duration {
         Duration::from_millis(self.drain.lag_ms)
     }
 
-    /// Time from the signal of a planned stop to the end of the process.
+    /// Time from the signal of a planned stop after which the process ends even if requests are in flight.
     pub fn grace(&self) -> Duration {
         Duration::from_millis(self.drain.grace_ms)
     }
--- a/crates/dappleway/src/settings/secrets.rs
+++ b/crates/dappleway/src/settings/secrets.rs
@@ -1,4 +1,4 @@
-//! Secrets that stand in files of their own.
+//! Secrets that are kept in files of their own.
 
 use std::path::Path;
 
@@ -6,12 +6,12 @@
 
 use super::{Settings, SettingsProblem, problem};
 
-/// Stands for the secret where there is none.
+/// Key material of a fleet without a configured secret. Frames are then only checked for damage.
 const NO_SECRET: &[u8] = b"no secret";
 const MIN_SECRET_BYTES: usize = 16;
 
 impl Settings {
-    /// The fleet's keys, read from their files.
+    /// Reads the keys of the exchange between nodes from their files.
     pub fn keys(&self) -> Result<fleet::Keys, Vec<SettingsProblem>> {
         let current = match &self.fleet.key_file {
             Some(path) => read_key("fleet.key_file", path)?,
@@ -24,7 +24,7 @@
         Ok(fleet::Keys { current, also })
     }
 
-    /// The token of the API, read from its file.
+    /// Reads the token of the operator API from its file.
     pub fn token(&self) -> Result<Option<Token>, Vec<SettingsProblem>> {
         let Some(path) = &self.operator.token_file else { return Ok(None) };
         let key = "operator.token_file";
--- a/crates/dappleway/src/tests.rs
+++ b/crates/dappleway/src/tests.rs
@@ -91,7 +91,7 @@
         10:00:00.200 n2 endpoint state: endpoint="i-1" reason="used last: a request failed"
         10:00:00.400 n1 request: outcome="answered" status=500"#]]
     .assert_eq(&told);
-    assert_eq!(story_of(LOGS, "r3"), None, "no line names it");
+    assert_eq!(story_of(LOGS, "r3"), None, "no line is about the request");
 }
 
 fn log_budget(lines_per_s: u32, healthy_requests_per_s: u32) -> Budget {
