--- a/crates/dappleway/tests/crashing.rs
+++ b/crates/dappleway/tests/crashing.rs
@@ -1,20 +1,17 @@
-//! Requests that end the endpoints which run them, at real processes.
+//! Requests that crash the endpoints which run them, with real processes.
 //!
-//! What users saw: a request under which three endpoints had ended was sent to endpoints 9 and 14 times more; 17 and 26
-//! endpoints ended in all. Of 22 lookups in a second 4 were served in time, because most endpoints of their service
-//! were down.
+//! The tests guard against a request that takes down most endpoints of a service. The content of the request crashes
+//! an endpoint's process some tens of milliseconds after the run begins. The node sees a broken connection and, if the
+//! route allows, sends the request to the next endpoint; the caller repeats the request at another node; crashed
+//! endpoints return after some seconds and are used at once. Operators saw that requests which had crashed three
+//! endpoints were sent 9 and 14 more times and crashed 17 and 26 endpoints in all; with most endpoints of the service
+//! down, 4 of 22 lookups in a second were served in time.
 //!
-//! Order of events: a caller sends a request whose content makes the process of an endpoint end some tens of
-//! milliseconds after it begins to run it. The node sees a connection that breaks, and sends the request to the next
-//! endpoint if the route allows that. The caller comes again, at another node. The endpoints are back after some
-//! seconds, and are taken at once.
-//!
-//! Cause: every send was judged by itself. Nothing told that two requests are the same one, and a process that ended
-//! under a request looked like any other failure, which speaks against the endpoint alone.
-//!
-//! Evidence: on a day of 36 nodes 20 and 29 endpoints of one service ended under one request each, no other service lost
-//! one, and the sends to them ended as `unknown` at nodes of all failure domains. Before endpoints that end as the ones
-//! here, 35 of 53 crashes came later than all nodes could have known, and one request of a caller ended up to three.
+//! The cause was that every send was evaluated separately: requests had no identity across sends, and a crash counted
+//! as an ordinary failure of the endpoint alone. With 36 nodes, 20 and 29 endpoints of one service crashed under one
+//! request each, no other service lost an endpoint, and the sends ended as `unknown` at nodes of all failure domains.
+//! With stand-in endpoints that crash like the ones here, 35 of 53 crashes came later than all nodes could have known,
+//! and one request of a caller crashed up to three endpoints.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -23,12 +20,12 @@
 use standin::caller::{self, Plan};
 use standin::upstream::CRASHING;
 
-/// Nodes that hear each other know of a crash within this time.
+/// Nodes that can reach each other know of a crash within this time.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Sends later than that are too late to be excused, but for this many.
+/// Maximum number of crashes after all nodes could have known that the request crashes endpoints.
 const LATE_SENDS: usize = 3;
 
-/// Time for a node to start.
+/// Timeout for the start of a node.
 const START: Duration = Duration::from_secs(60);
 
 fn crashes(bed: &Bed) -> Vec<Instant> {
--- a/crates/dappleway/tests/keys.rs
+++ b/crates/dappleway/tests/keys.rs
@@ -1,6 +1,6 @@
-//! Callers' keys and organisations' allowances, at real processes.
+//! API keys of callers and allowances of organisations, with real processes.
 //!
-//! Nothing here asserts a duration: conditions are waited for.
+//! The tests wait for conditions and assert no durations.
 
 use std::path::Path;
 use std::time::Duration;
@@ -32,8 +32,8 @@
     bed.wait_in_force(version).await.unwrap();
 }
 
-/// Sends a lookup to a node with these headers. A node that has no proof yet that its configuration is the
-/// newest tells whoever it can't place to come back, so that one is sent again until the node knows.
+/// Sends a lookup with these headers to a node. While a node has no freshness confirmation of its configuration, the
+/// node answers requests with unknown keys by 503, so the lookup is repeated until the node is up to date.
 async fn lookup(bed: &Bed, node: usize, headers: &[(&str, &str)]) -> Got {
     let limit = Instant::now() + Duration::from_secs(60);
     loop {
@@ -45,7 +45,7 @@
         if !may_be_outdated {
             return got;
         }
-        assert!(Instant::now() < limit, "node {node} never knows: {}", got.text());
+        assert!(Instant::now() < limit, "node {node} is never up to date: {}", got.text());
         sleep(Duration::from_millis(50)).await;
     }
 }
@@ -82,7 +82,7 @@
     assert_eq!(run, 0);
 }
 
-/// A key that is taken away serves nobody any more, at no node; the other ones go on.
+/// A key that is removed from the configuration is no longer accepted by any node; the other keys stay valid.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_come_and_go_with_the_configuration() {
     let bed = bed(&[unlimited("alice", &[ALICE])]).await;
@@ -92,8 +92,8 @@
         assert_eq!(status(ALICE).await, 401);
         assert_eq!((status(ALICE_TOO).await, status(BOB).await), (200, 200));
     }
-    // One key for two organisations is nobody's; all else of the configuration holds. What may be known elsewhere is
-    // not denied.
+    // A key that two organisations list belongs to neither; the rest of the configuration is valid. Requests with keys
+    // that another node may know are answered by 503 instead of 401.
     let shared = [unlimited("alice", &[ALICE, ALICE_TOO]), unlimited("bob", &[ALICE])];
     publish(&bed, &shared).await;
     wait_for_log(&bed, "key 1 is held twice").await;
@@ -104,14 +104,14 @@
     }
 }
 
-/// A key is a secret: nothing that a node writes or shows holds it.
+/// A key is a secret and must not occur in the logs or API responses of a node.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_key_is_logged_or_shown() {
     let bed = bed(&[unlimited("alice", &[ALICE]), unlimited("bob", &[BOB])]).await;
     for key in [ALICE, "a-key-that-nobody-holds"] {
         lookup(&bed, 0, &[("x-api-key", key)]).await;
     }
-    // A configuration whose columns are shifted puts a key where a number belongs.
+    // With shifted columns, the configuration has a key in the place of a number.
     let broken = format!(
         r#"{{"version":99,"routes":{{"columns":[],"rows":[]}},"services":{{"columns":[],"rows":[]}},
             "limits":{{"maxHeaderBytes":1,"maxBodyBytes":1,"headerTimeoutS":1,"idleTimeoutS":1}},
@@ -147,14 +147,15 @@
     panic!("no node logs `{text}`");
 }
 
-/// What an organisation asks beyond its allowance gets 429, whichever nodes it comes to; its neighbours lose nothing.
+/// Requests of an organisation beyond its allowance get 429, whichever nodes they are sent to; other organisations
+/// are not affected.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_allowance_holds_over_all_nodes_and_costs_neighbours_nothing() {
     let limited = |it: Keyed| Keyed { rate_per_s: 20.0, burst: 10.0, ..it };
     let alice = limited(unlimited("alice", &[ALICE]));
     let bob = limited(unlimited("bob", &[BOB]));
     let bed = bed(&[alice, bob]).await;
-    // AllowanceOwner fill.
+    // The buckets fill up.
     sleep(Duration::from_secs(2)).await;
     let started = Instant::now();
     let (mut served, mut refused, mut neighbours) = (0, 0, 0);
@@ -186,7 +187,7 @@
     assert_eq!(neighbours, 10);
 }
 
-/// A document may hold a digest in place of a key.
+/// Resources may contain the digest of a key instead of the key.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_command_line_makes_a_digest_of_a_key() {
     let mut command = tokio::process::Command::new(BIN);
--- a/crates/dappleway/tests/notices.rs
+++ b/crates/dappleway/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves, at real processes.
+//! Notices that endpoints attach to their answers, with real processes.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -7,11 +7,12 @@
 use standin::caller;
 use standin::upstream::{Fault, Says};
 
-/// An endpoint that leaves gets nothing new after this time.
+/// Time after which a leaving endpoint gets no new requests.
 const LEAVING: Duration = Duration::from_secs(2);
 const REST: Duration = Duration::from_secs(3);
-/// An endpoint that asks for rest may get a request that is under way, and two more.
+/// Requests that were already sent may arrive at an endpoint within this time after it asked for a back-off.
 const UNDER_WAY: Duration = Duration::from_millis(500);
+/// Maximum number of further requests during the back-off.
 const BEFORE_THE_END: usize = 2;
 
 fn count(arrivals: &[Instant], from: Instant, to: Instant) -> usize {
@@ -28,7 +29,7 @@
     let told_by = Instant::now() + LEAVING;
     let seen = caller::run(bed.lookups(100.0, 6.0)).await;
     let late = count(&leaving.arrivals(), told_by, Instant::now());
-    assert_eq!(late, 0, "requests after all nodes could know");
+    assert_eq!(late, 0, "requests after all nodes could have known");
     assert!(seen.answered * 100 >= seen.sent * 99, "the others have slots to spare: {seen:?}");
 }
 
@@ -43,10 +44,10 @@
     let before = resting.arrivals().len();
     let seen = caller::run(bed.lookups(100.0, 8.0)).await;
     let arrivals = &resting.arrivals()[before..];
-    assert!(!arrivals.is_empty(), "it is asked at all");
+    assert!(!arrivals.is_empty(), "the endpoint gets a request at all");
     for asked in arrivals {
         let n = count(arrivals, *asked + UNDER_WAY, *asked + REST);
-        assert!(n <= BEFORE_THE_END, "{n} requests in the rest it asked for");
+        assert!(n <= BEFORE_THE_END, "{n} requests during the back-off");
     }
     assert!(seen.answered * 100 >= seen.sent * 99, "the others have slots to spare: {seen:?}");
 }
--- a/crates/dappleway/tests/older_copy.rs
+++ b/crates/dappleway/tests/older_copy.rs
@@ -1,8 +1,9 @@
-//! The platform's store comes back from a copy some seconds old: what a reader and its copy make of it.
+//! The platform's store is restored from a copy some seconds old. The tests check the behaviour of a reader and its
+//! replica.
 //!
-//! By the users' page: what was written since that copy is gone, revisions are given out again, and a header counts the
-//! times. Cause of what failed: a position in the store was a revision alone, so that all it says after its return
-//! counted as old until its revisions had passed those known before.
+//! A restore loses the writes since the copy was taken, revisions are assigned again, and a header counts the restores.
+//! The tests guard against this failure: a position in the store was only a revision, so all updates after a restore
+//! counted as old until the revisions exceeded those known before.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,10 +22,11 @@
     {"id":"i-3","addr":"127.0.0.1:9003","failure_domain":"b"}]},
   {"kind":"Route","name":"lookup","path":"/slots","service":"slots","deadline_ms":500,"repeat":"anytime"}
 ]"#;
-/// Longer than an endpoint counts as missing, and shorter than one that an older copy names is believed to be gone.
+/// Longer than the time for which an endpoint counts as missing before it is dropped, and shorter than the time for
+/// which an endpoint listed by an older copy is still considered gone.
 const GONE: Duration = Duration::from_secs(3);
 
-/// A store, a reader of it, and the copy that a node makes of what is read.
+/// A store, its reader, and the replica that a node keeps of the data that is read.
 struct World {
     platform: Platform,
     reader: Reader,
@@ -47,7 +49,7 @@
         world
     }
 
-    /// Reads everything, or what has changed, as often as the store sends the reader on.
+    /// Reads everything or the next changes into the replica. Reads everything if the store no longer has the changes.
     async fn take(&mut self, mut everything: bool) {
         loop {
             let read = match everything {
@@ -77,7 +79,7 @@
         self.replica.tick(self.now);
     }
 
-    /// Endpoints that may get work, with how they stand.
+    /// Endpoints that may get requests, with their standing.
     fn known(&self) -> Vec<(String, Standing)> {
         let all = self.replica.registrations();
         all.map(|it| (it.endpoint.id.to_string(), it.endpoint.standing)).collect()
@@ -92,7 +94,7 @@
     serde_json::from_str(DOCUMENTS).unwrap()
 }
 
-/// Lets `id` announce itself.
+/// Registers the endpoint `id`.
 fn register(platform: &Platform, id: &str) {
     let endpoint = Endpoint {
         id: id.into(),
@@ -151,20 +153,21 @@
         assert_eq!(world.standing("i-1"), None);
         world.platform.come_back(copy);
         world.follow().await;
-        assert_eq!(world.standing("i-1"), None, "told: {is_told}");
-        // Its entry lapses there too.
+        assert_eq!(world.standing("i-1"), None, "announced: {is_told}");
+        // The entry expires in the restored store too.
         world.platform.remove("i-1");
         world.follow().await;
         world.pass(GONE * 10);
-        assert_eq!(world.standing("i-1"), None, "told: {is_told}");
-        // It may come back all the same, if it writes.
+        assert_eq!(world.standing("i-1"), None, "announced: {is_told}");
+        // The endpoint may return by registering again.
         register(&world.platform, "i-1");
         world.follow().await;
         assert_eq!(world.standing("i-1"), Some(Standing::Present));
     }
 }
 
-/// Its entry lapsed while it lived, the older copy has it, and nothing more is written because nothing changes.
+/// The endpoint's entry expired while the endpoint was running. The older copy contains the entry, and no further write
+/// comes because nothing changes.
 #[tokio::test]
 async fn an_endpoint_that_an_older_copy_goes_on_naming_is_there_again() {
     let mut world = World::new().await;
@@ -189,7 +192,7 @@
     assert_eq!(world.standing("i-1"), Some(Standing::Leaving));
 }
 
-/// The older copy has given out so many revisions again that the reader's own position is among them.
+/// The restored store has assigned enough revisions again to include the reader's own position.
 #[tokio::test]
 async fn a_return_is_noticed_even_where_the_revision_is_known_again() {
     let mut world = World::new().await;
@@ -216,7 +219,7 @@
     assert_eq!(world.replica.facts().version, 2);
     world.platform.come_back(copy);
     world.follow().await;
-    assert_eq!(world.replica.facts().version, 2, "the copy has version 1");
+    assert_eq!(world.replica.facts().version, 2, "the older copy has version 1");
     world.platform.publish(&documents());
     world.follow().await;
     assert_eq!(world.replica.facts().version, 3);
--- a/crates/dappleway/tests/operating.rs
+++ b/crates/dappleway/tests/operating.rs
@@ -1,5 +1,5 @@
-//! What operators rely on, at real processes: logs that stall nothing, who may use the API, and the
-//! command line.
+//! Interfaces for operators, tested with real processes: logs, the operator API and its token, the command line and
+//! metrics.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,15 +10,14 @@
 use standin::{caller, client};
 
 const BIN: &str = env!("CARGO_BIN_EXE_dappleway");
-/// Time for a process to come up on a busy machine.
+/// Timeout for the start of a process on a loaded machine.
 const START: Duration = Duration::from_secs(60);
 
 async fn bed(nodes: usize) -> Bed {
     Bed::start(Path::new(BIN), &Layout { nodes, ..Layout::small() }).await.unwrap()
 }
 
-/// Lines fill the pipe, then the queue; requests are answered all the same, and what was left out is
-/// counted.
+/// Log lines fill the pipe and then the queue. Requests must still be answered, and dropped lines must be counted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_reader_that_never_reads_standard_output_stalls_nothing() {
     let mut bed = bed(1).await;
@@ -30,10 +29,10 @@
     let summary = caller::run(bed.lookups(800.0, 5.0)).await;
     assert_eq!(summary.answered, summary.sent, "{summary:?}");
     let left_out = bed.metric("dappleway_log_lines_left_out_total").await.unwrap();
-    assert!(left_out > 0.0, "the queue was never full, so nothing is shown");
+    assert!(left_out > 0.0, "the queue was never full, so the test proves nothing");
     let node = &mut bed.nodes[0];
     node.signal("TERM").unwrap();
-    assert_eq!(wait_end(node).await, 0, "a planned stop ends too");
+    assert_eq!(wait_end(node).await, 0, "a planned stop must also succeed");
 }
 
 async fn wait_end(node: &mut Node) -> i32 {
@@ -45,7 +44,7 @@
     }
 }
 
-/// Runs the command line; its exit code, standard output and standard error.
+/// Runs a command against a node; returns its exit code, standard output and standard error.
 async fn dappleway(node: &Node, args: &[&str]) -> (i32, String, String) {
     let addr = node.addrs.operator.to_string();
     let mut command = tokio::process::Command::new(BIN);
@@ -113,14 +112,14 @@
     assert_eq!(code, 3);
 }
 
-/// No endpoint can go on with the download, so it is broken off, and the logs say where and why.
+/// No endpoint can continue the download, so it is aborted. The logs must say at which endpoint and why.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_download_that_was_broken_off_is_explained_from_its_identity() {
     let bed = bed(1).await;
     let node = &bed.nodes[0];
     bed.upstreams.iter().for_each(|it| it.set_fault(Fault::CutBody, 1.0, 1.0));
     let got = client::get(node.addrs.traffic, "/archives/x?bytes=3000000").await;
-    assert!(got.is_err(), "the caller sees that it is not whole");
+    assert!(got.is_err(), "the caller must see that the answer is incomplete");
     let log = node.log.to_str().unwrap();
     let text = loop {
         let text = std::fs::read_to_string(&node.log).unwrap();
--- a/crates/dappleway/tests/promises.rs
+++ b/crates/dappleway/tests/promises.rs
@@ -1,7 +1,7 @@
-//! What must always hold, at real processes before upstreams that fail.
+//! Guarantees of the fleet, tested with real processes and failing upstreams.
 //!
-//! Nothing here asserts a duration: conditions are waited for, and what must not happen is counted
-//! where it would happen, at the stand-in upstreams.
+//! The tests wait for conditions and assert no durations. Forbidden events, such as a second run of a request, are
+//! counted at the stand-in upstreams, where they would occur.
 
 use std::collections::BTreeSet;
 use std::ops::{Deref, DerefMut};
@@ -16,13 +16,13 @@
 use standin::upstream::{Fault, Profile, download_bytes};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Longer than what is held before the caller gets any of it.
+/// Length of a download that exceeds the part that is buffered before the caller gets the first bytes.
 const BYTES: usize = 3_000_000;
 
-/// Beds at a time: more would take the processor from one another and look sick.
+/// Limits the test beds that run at the same time. More would compete for the CPU and appear unhealthy.
 static PLACES: Semaphore = Semaphore::const_new(2);
 
-/// A bed that holds its place until it is dropped.
+/// A test bed together with its permit of `PLACES`.
 struct PlacedBed {
     bed: Bed,
     _place: SemaphorePermit<'static>,
@@ -53,7 +53,7 @@
     caller::run(plan).await
 }
 
-/// How often a request was run, over all endpoints.
+/// Number of runs of a request, summed over all endpoints.
 fn runs(bed: &Bed, id: &str) -> u32 {
     bed.upstreams.iter().map(|it| it.runs().get(id).copied().unwrap_or(0)).sum()
 }
@@ -64,7 +64,7 @@
         assert!(runs(bed, id) <= 1, "{what}: {id} ran {} times", runs(bed, id));
     }
     for id in &summary.not_run_ids {
-        assert_eq!(runs(bed, id), 0, "{what}: {id} was told to have not run");
+        assert_eq!(runs(bed, id), 0, "{what}: {id} was reported as not run");
     }
     for id in &summary.answered_ids {
         assert_eq!(runs(bed, id), 1, "{what}: {id} was answered");
@@ -95,7 +95,8 @@
     }
 }
 
-/// A body that is too long to be held can be sent once; that does not make its outcome unknown.
+/// A body that is too long to be buffered can be sent only once. If the endpoint refuses the request, its outcome is
+/// still known.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_long_request_that_every_endpoint_refused_is_told_to_have_not_run() {
     let bed = bed(&Layout::small()).await;
@@ -126,7 +127,7 @@
         let mut whole = 0;
         for _ in 0..8 {
             let path = format!("/archives/2026-11?bytes={BYTES}");
-            // One that breaks off every time is visibly broken off: the client reports an error.
+            // If no endpoint can continue the download, the client sees an error and no truncated answer.
             let Ok(got) = client::get(bed.nodes[0].addrs.traffic, &path).await else { continue };
             if got.status.is_success() {
                 assert_eq!(got.body.len(), BYTES, "{fault:?}");
@@ -149,7 +150,7 @@
         tokio::spawn(
             async move { client::get(target, &format!("/archives/x?bytes={BYTES}")).await },
         );
-    // The download is under way when the stop begins.
+    // The stop begins while the download is in flight.
     while bed.nodes[0].metric("dappleway_requests_in_flight").await.unwrap() < 1.0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -211,7 +212,7 @@
     send(&bed, "GET", "/slots/1", 300.0, 1.0).await;
     let load = tokio::spawn({
         let mut plan = bed.lookups(200.0, 3.0);
-        // The balancer has noticed the frozen node.
+        // The balancer has removed the frozen node.
         plan.targets.remove(0);
         caller::run(plan)
     });
@@ -224,7 +225,7 @@
     assert_eq!(bed.ejections().unwrap(), Vec::<String>::new());
 }
 
-/// Node 0 hears the others and cannot answer them, or the other way round.
+/// Drops all frames from node 0 to the others, or all frames from the others to node 0.
 async fn cut_one_way(bed: &Bed, from_first: bool) {
     let first = bed.nodes[0].addrs.fleet;
     let others: Vec<_> = bed.nodes[1..].iter().map(|it| it.addrs.fleet).collect();
@@ -265,8 +266,7 @@
         bed.platform.set_fault(fault);
         for i in 0..bed.nodes.len() {
             if fault == platform::Fault::Down {
-                // A process that cannot read the list is not started into an outage here; the
-                // others go on serving.
+                // Restarts during an outage of the platform are not tested here; the running nodes go on serving.
                 continue;
             }
             bed.nodes[i].restart().unwrap();
@@ -317,7 +317,7 @@
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_dappleway")), bed.platform_addr());
     options.seeds = bed.nodes.iter().map(|it| it.addrs.fleet).collect();
     let node = Node::start(dir.path(), &stranger, &options).unwrap();
-    // It reads the platform itself, so it can serve; the others drop all that it says.
+    // The node reads the platform itself, so it can serve. The other nodes drop all its frames.
     node.wait_ready(Duration::from_secs(30)).await.unwrap();
     bed.wait_reports(|it| it["frames_dropped"].as_u64().is_some_and(|n| n > 0)).await.unwrap();
     let report = bed.nodes[0].report().await.unwrap();
@@ -326,7 +326,7 @@
     assert_eq!(node.report().await.unwrap()["members"].as_array().unwrap().len(), 0);
 }
 
-/// The default of SIGHUP is to end the process. Found on a day on which settings files change.
+/// Guards against an unhandled SIGHUP, whose default action ends the process, when settings files change.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_the_settings_file_is_taken_up_without_a_restart() {
     let mut bed = bed(&Layout { nodes: 1, ..Layout::small() }).await;
@@ -336,7 +336,7 @@
     while !log(&bed).contains("\"changed\":\"log.level\"") {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    // Without a signal, and with a value that is refused.
+    // The second change comes without a signal and has an invalid value.
     bed.nodes[0].edit_settings("level = \"debug\"", "level = \"loud\"").unwrap();
     while !log(&bed).contains("settings refused") {
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/dappleway/tests/rate_limits.rs
+++ b/crates/dappleway/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Endpoints that name a rate limit, at real processes.
+//! Endpoints that announce a rate limit, with real processes.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,10 +9,10 @@
 
 const PER_S: f64 = 1.5;
 const WINDOW: Duration = Duration::from_secs(4);
-/// The fleet has so long to hear of a limit.
+/// Time within which all nodes learn of a limit.
 const CONTACT: Duration = Duration::from_secs(3);
 
-/// Most arrivals in a window after `from`.
+/// The largest number of arrivals in any window after `from`.
 fn most_in_a_window(arrivals: &[Instant], from: Instant) -> usize {
     let late: Vec<Instant> = arrivals.iter().copied().filter(|it| *it >= from).collect();
     let ending = |end: Instant| late.iter().filter(|it| **it <= end && **it + WINDOW > end).count();
--- a/crates/dappleway/tests/soak.rs
+++ b/crates/dappleway/tests/soak.rs
@@ -1,15 +1,16 @@
-//! Promises under faults, with the program as many processes: the kept cases and one short drawn schedule.
+//! Soak test with many processes: checks the guarantees of the fleet in all stored cases and in one short random
+//! schedule of faults.
 
 use std::path::Path;
 use std::time::Duration;
 
 use soak::{Case, Options, Schedule, cases, play};
 
-/// Seed of what callers ask for, and of the drawn schedule.
+/// Seed of the callers' requests and of the random schedule.
 const SEED: u64 = 7;
-/// Length of the drawn schedule.
+/// Length of the random schedule.
 const SHORT: Duration = Duration::from_secs(20);
-/// Requests a second to each node.
+/// Requests per second to each node.
 const RATE: f64 = 10.0;
 
 async fn check(it: Case) {
@@ -20,10 +21,10 @@
     let outcome = play(bin, &options, &it.schedule).await.unwrap();
     let told: Vec<String> = outcome.broken.iter().take(5).map(ToString::to_string).collect();
     assert!(told.is_empty(), "{}: {told:#?}, logs in {:?}", it.name, outcome.logs);
-    assert!(outcome.in_touch * 10 > outcome.requests, "{}: too little was checked", it.name);
+    assert!(outcome.in_touch * 10 > outcome.requests, "{}: too few requests were checked", it.name);
 }
 
-// One after the other: beside each other they would take the processor from one another.
+// The cases run one after another, because parallel cases would compete for the CPU.
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_in_all_kept_cases_and_a_drawn_one() {
     for it in cases() {
