--- a/crates/dappleway/src/reload.rs
+++ b/crates/dappleway/src/reload.rs
@@ -15,9 +15,9 @@
 use crate::settings::{self, Settings};
 
 /// Interval at which the file is checked for a change without a signal. The file is small, so the check is cheap.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Settings that take effect in a running process.
-const AT_ONCE: [&str; 6] = [
+const RELOADABLE: [&str; 6] = [
     "log.level",
     "fleet.seeds",
     "operator.token_file",
@@ -52,38 +52,38 @@
                 return;
             }
         };
-        let mut look = interval(LOOK_EVERY);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut seen = std::fs::read_to_string(&self.path).unwrap_or_default();
+        let mut checks = interval(CHECK_INTERVAL);
+        checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut last_text = std::fs::read_to_string(&self.path).unwrap_or_default();
         loop {
-            let is_asked = tokio::select! {
+            let is_signalled = tokio::select! {
                 _ = hangup.recv() => true,
-                _ = look.tick() => false,
+                _ = checks.tick() => false,
             };
             let Ok(text) = std::fs::read_to_string(&self.path) else {
-                if is_asked {
+                if is_signalled {
                     warn!(self.log, "settings file cannot be read, the settings in force stay");
                 }
                 continue;
             };
-            if is_asked || text != seen {
-                self.take(&text);
-                seen = text;
+            if is_signalled || text != last_text {
+                self.apply(&text);
+                last_text = text;
             }
-            self.take_token();
+            self.reload_token();
         }
     }
 
     /// Reloads the token, whose file may change while the settings file does not.
-    fn take_token(&self) {
+    fn reload_token(&self) {
         match self.settings.token() {
             Ok(new) => {
-                let is_news = self.token.send_if_modified(|it| {
-                    let is_news = *it != new;
+                let has_changed = self.token.send_if_modified(|it| {
+                    let has_changed = *it != new;
                     *it = new;
-                    is_news
+                    has_changed
                 });
-                if is_news {
+                if has_changed {
                     info!(self.log, "the token of the operator API was replaced");
                 }
             }
@@ -94,7 +94,7 @@
         }
     }
 
-    fn take(&mut self, text: &str) {
+    fn apply(&mut self, text: &str) {
         let new = match settings::parse(text) {
             Ok(it) => it,
             Err(problems) => {
@@ -104,10 +104,10 @@
             }
         };
         let changed = settings::changed_keys(&self.settings, &new);
-        let (now, later): (Vec<_>, Vec<_>) =
-            changed.into_iter().partition(|it| AT_ONCE.contains(&it.as_str()));
+        let (applied, deferred): (Vec<_>, Vec<_>) =
+            changed.into_iter().partition(|it| RELOADABLE.contains(&it.as_str()));
         info!(self.log, "settings reloaded";
-            "changed" => now.join(", "), "waiting_for_restart" => later.join(", "));
+            "changed" => applied.join(", "), "waiting_for_restart" => deferred.join(", "));
         self.level.set(new.log.level);
         self.settings = new.clone();
         // The control thread may have ended already.
