--- a/crates/dappleway/src/baselines.rs
+++ b/crates/dappleway/src/baselines.rs
@@ -11,11 +11,11 @@
 use tokio::sync::watch;
 
 /// Number of consecutive failures after which an endpoint is ejected.
-const FAILURES: u32 = 5;
+const FAILURES_TO_EJECT: u32 = 5;
 /// Duration of an ejection.
-const OUT: Duration = Duration::from_secs(30);
+const EJECTION_TIME: Duration = Duration::from_secs(30);
 /// At most one in this many endpoints, rounded up, is ejected at a time.
-const MOST_OUT: usize = 10;
+const ENDPOINTS_PER_EJECTION: usize = 10;
 /// Stall and hedge timeout of the baselines, which neither report stalls nor hedge.
 const NEVER: Duration = Duration::from_secs(3_600);
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct EndpointState {
     failures: u32,
-    out_until: Option<Instant>,
+    ejected_until: Option<Instant>,
 }
 
 impl RoundRobin {
@@ -68,7 +68,7 @@
     async fn acquire(&self, want: Want) -> Result<RoundRobinSlot, Refused> {
         let services = self.services.borrow().clone();
         let found = services.iter().find(|it| it.name == want.service && !it.endpoints.is_empty());
-        let Some(service) = found else { return Err(Refused::no_capacity(OUT)) };
+        let Some(service) = found else { return Err(Refused::no_capacity(EJECTION_TIME)) };
         let mut state = self.state.lock().expect("no panic while the state is held");
         let endpoint = state.entry(service.name.clone()).or_default().pick(service);
         let (started_ms, addr) = (endpoint.started_ms, endpoint.addr);
@@ -96,24 +96,26 @@
         for _ in 0..n {
             self.next = (self.next + 1) % n;
             let endpoint = &service.endpoints[self.next];
-            if !self.is_out(endpoint.addr, now) {
+            if !self.is_ejected(endpoint.addr, now) {
                 return endpoint;
             }
         }
         &service.endpoints[self.next]
     }
 
-    fn is_out(&self, addr: SocketAddr, now: Instant) -> bool {
-        self.endpoints.get(&addr).and_then(|it| it.out_until).is_some_and(|it| now < it)
+    fn is_ejected(&self, addr: SocketAddr, now: Instant) -> bool {
+        self.endpoints.get(&addr).and_then(|it| it.ejected_until).is_some_and(|it| now < it)
     }
 
     fn record(&mut self, service: &Service, addr: SocketAddr, failed: bool) {
         let now = Instant::now();
-        let out = service.endpoints.iter().filter(|it| self.is_out(it.addr, now)).count();
+        let ejected = service.endpoints.iter().filter(|it| self.is_ejected(it.addr, now)).count();
         let it = self.endpoints.entry(addr).or_default();
         it.failures = if failed { it.failures + 1 } else { 0 };
-        if it.failures >= FAILURES && out < service.endpoints.len().div_ceil(MOST_OUT) {
-            *it = EndpointState { failures: 0, out_until: Some(now + OUT) };
+        if it.failures >= FAILURES_TO_EJECT
+            && ejected < service.endpoints.len().div_ceil(ENDPOINTS_PER_EJECTION)
+        {
+            *it = EndpointState { failures: 0, ejected_until: Some(now + EJECTION_TIME) };
         }
     }
 }
@@ -145,10 +147,10 @@
             return;
         }
         let is_unanswered = matches!(kind, Kind::Abandoned | Kind::TimedOut);
-        let late = is_unanswered && elapsed > Duration::from_millis(100);
+        let is_late = is_unanswered && elapsed > Duration::from_millis(100);
         let mut state = self.dispatch.state.lock().expect("no panic while the state is held");
         let state = state.entry(self.service.name.clone()).or_default();
-        let failed = matches!(kind, Kind::Failed | Kind::Crashed | Kind::Unreachable);
-        state.record(&self.service, self.grant.addr, failed || late);
+        let has_failed = matches!(kind, Kind::Failed | Kind::Crashed | Kind::Unreachable);
+        state.record(&self.service, self.grant.addr, has_failed || is_late);
     }
 }
