--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -41,7 +41,7 @@
 
 use self::allowances::Allowances;
 use crate::event::Event;
-use crate::reader::Wanted;
+use crate::reader::ReadPlan;
 use crate::services::{Scope, Services, name_hash, route_hash};
 use crate::settings::Mode;
 
@@ -84,7 +84,7 @@
     /// Why the node is not ready, for the operator API; `None` if the node is ready.
     pub not_ready: watch::Sender<Option<String>>,
     /// What the reader task of this node should read from the platform.
-    pub wanted: watch::Sender<Wanted>,
+    pub read_plan: watch::Sender<ReadPlan>,
 }
 
 /// A configuration that was rejected because it is invalid.
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -31,7 +31,7 @@
             Command::Noticed(id, notice) => self.handle_notice(now, id, notice),
             Command::End(id, outcome) => self.end_permit(now, id, outcome),
             Command::Unserved(route, service) => self.count_unserved(&route, &service),
-            Command::RefusedOnRoute(route) => self.count_refused(&route),
+            Command::RefusedBeforeDispatch(route) => self.count_refused(&route),
         }
     }
 
--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -18,7 +18,7 @@
 
 use super::{Control, ControlMetrics, ControlParams, Outputs};
 use crate::event::Event;
-use crate::reader::Wanted;
+use crate::reader::ReadPlan;
 use crate::services::name_hash;
 use crate::settings::Mode;
 
@@ -87,7 +87,7 @@
             published: watch::channel(Default::default()).0,
             services: watch::channel(Default::default()).0,
             not_ready: watch::channel(None).0,
-            wanted: watch::channel(Wanted::NOTHING).0,
+            read_plan: watch::channel(ReadPlan::NOTHING).0,
         },
         urgent,
         rng: StdRng::seed_from_u64(1),
--- a/crates/dappleway/src/control/timers.rs
+++ b/crates/dappleway/src/control/timers.rs
@@ -12,7 +12,7 @@
     Control, DISPATCHER_TICK, EJECTION_VALIDITY, MAX_IDS_PER_RENEWAL, MIN_FRESH_PHASE,
     PAUSE_THRESHOLD, READINESS_INTERVAL, RENEWAL_INTERVAL, ServingNodes,
 };
-use crate::reader::Wanted;
+use crate::reader::ReadPlan;
 use crate::services::{Scope, TickOutput};
 use crate::settings::Mode;
 
@@ -251,14 +251,14 @@
     pub(super) fn update_read_plan(&self, now: Time) {
         self.outputs.shared.set_fresh(self.exchange.duty().is_fresh(now));
         let reads = self.exchange.duty().reads(now);
-        let known = self.exchange.replica().facts().registry;
-        let others = self.exchange.near();
-        self.outputs.wanted.send_if_modified(|it| {
+        let known_position = self.exchange.replica().facts().registry;
+        let other_nodes = self.exchange.near();
+        self.outputs.read_plan.send_if_modified(|it| {
             let has_changed = it.reads != reads;
-            *it = Wanted { reads, known, others };
+            *it = ReadPlan { reads, known_position, other_nodes };
             if has_changed {
                 info!(self.log, "duty to read the platform"; "reads" => ?reads,
-                    "why" => self.exchange.duty().why(now), "known" => %known,
+                    "why" => self.exchange.duty().why(now), "known" => %known_position,
                     "proof_age_ms" => self.exchange.duty().age(now).as_millis() as u64,
                     "calls" => self.platform_calls);
             }
--- a/crates/dappleway/src/event.rs
+++ b/crates/dappleway/src/event.rs
@@ -61,7 +61,7 @@
     /// A request of the route was not served by the service; the route may lead to other services.
     Unserved(Arc<Route>, Name),
     /// A request of the route was refused before a slot was requested.
-    RefusedOnRoute(Arc<Route>),
+    RefusedBeforeDispatch(Arc<Route>),
     /// Release a slot. Without an outcome the release is no evidence about the endpoint.
     End(PermitId, Option<(Kind, Duration)>),
 }
--- a/crates/dappleway/src/handle.rs
+++ b/crates/dappleway/src/handle.rs
@@ -14,17 +14,17 @@
 
 /// Requests slots and allowances from the control thread.
 #[derive(Clone)]
-pub struct Handle {
+pub struct ControlHandle {
     node: NodeId,
-    next: Arc<AtomicU64>,
+    next_seq: Arc<AtomicU64>,
     events: mpsc::UnboundedSender<Event>,
 }
 
-impl Handle {
-    /// Creates a handle to the control thread of `node`. Permits are numbered from `first`, which must differ
+impl ControlHandle {
+    /// Creates a handle to the control thread of `node`. Permits are numbered from `first_seq`, which must differ
     /// between incarnations of the node.
-    pub fn new(node: NodeId, first: u64, events: mpsc::UnboundedSender<Event>) -> Self {
-        Self { node, next: Arc::new(AtomicU64::new(first)), events }
+    pub fn new(node: NodeId, first_seq: u64, events: mpsc::UnboundedSender<Event>) -> Self {
+        Self { node, next_seq: Arc::new(AtomicU64::new(first_seq)), events }
     }
 
     fn send(&self, command: Command) {
@@ -33,15 +33,15 @@
     }
 }
 
-impl Dispatch for Handle {
-    type Slot = HandleSlot;
+impl Dispatch for ControlHandle {
+    type Slot = ControlSlot;
 
     fn unserved(&self, route: &Arc<Route>, service: &Name) {
         self.send(Command::Unserved(route.clone(), service.clone()));
     }
 
     fn refused(&self, route: &Arc<Route>) {
-        self.send(Command::RefusedOnRoute(route.clone()));
+        self.send(Command::RefusedBeforeDispatch(route.clone()));
     }
 
     async fn admit(&self, organisation: u64) -> Admission {
@@ -50,16 +50,16 @@
         rx.await.unwrap_or(Admission::Unknown)
     }
 
-    async fn acquire(&self, want: Want) -> Result<HandleSlot, Refused> {
-        let id = PermitId { node: self.node, seq: self.next.fetch_add(1, Ordering::Relaxed) };
+    async fn acquire(&self, want: Want) -> Result<ControlSlot, Refused> {
+        let id = PermitId { node: self.node, seq: self.next_seq.fetch_add(1, Ordering::Relaxed) };
         let (tx, rx) = oneshot::channel();
-        let mut wish = PendingWish { handle: self, id, settled: false };
+        let mut pending = PendingAcquire { handle: self, id, settled: false };
         self.send(Command::Acquire(id, want, tx));
         let settled = rx.await;
-        wish.settled = true;
+        pending.settled = true;
         match settled {
             Ok(Ok((grant, place))) => {
-                Ok(HandleSlot { handle: self.clone(), id, grant, place, ended: false })
+                Ok(ControlSlot { handle: self.clone(), id, grant, place, ended: false })
             }
             Ok(Err(refused)) => Err(refused),
             Err(_) => Err(Refused::no_capacity(Duration::from_secs(1))),
@@ -68,13 +68,13 @@
 }
 
 /// Withdraws a slot request if its future is dropped before it is settled.
-struct PendingWish<'a> {
-    handle: &'a Handle,
+struct PendingAcquire<'a> {
+    handle: &'a ControlHandle,
     id: PermitId,
     settled: bool,
 }
 
-impl Drop for PendingWish<'_> {
+impl Drop for PendingAcquire<'_> {
     fn drop(&mut self) {
         if !self.settled {
             self.handle.send(Command::Withdraw(self.id));
@@ -83,15 +83,15 @@
 }
 
 /// A slot that the control thread has acquired; dropping the slot releases it without an outcome.
-pub struct HandleSlot {
-    handle: Handle,
+pub struct ControlSlot {
+    handle: ControlHandle,
     id: PermitId,
     grant: Grant,
     place: Place,
     ended: bool,
 }
 
-impl Slot for HandleSlot {
+impl Slot for ControlSlot {
     fn grant(&self) -> &Grant {
         &self.grant
     }
@@ -122,7 +122,7 @@
     }
 }
 
-impl Drop for HandleSlot {
+impl Drop for ControlSlot {
     fn drop(&mut self) {
         if !self.ended {
             self.handle.send(Command::End(self.id, None));
--- a/crates/dappleway/src/node.rs
+++ b/crates/dappleway/src/node.rs
@@ -25,9 +25,9 @@
 use crate::baselines::RoundRobin;
 use crate::control::{Control, ControlMetrics, ControlParams, Outputs};
 use crate::event::Event;
-use crate::handle::Handle;
+use crate::handle::ControlHandle;
 use crate::logging::{self, Logging};
-use crate::reader::{Wanted, read_platform};
+use crate::reader::{ReadPlan, read_platform};
 use crate::reload::Reload;
 use crate::services::name_hash;
 use crate::settings::{Mode, Settings};
@@ -51,9 +51,9 @@
     let (events, received) = mpsc::unbounded_channel();
     let (services_tx, services) = watch::channel(Services::default());
     let (token, access) = watch::channel(token);
-    let outlets =
-        Outlets { shared: shared.clone(), services: services_tx, registry, token: access };
-    let control = start_control(&settings, keys, outlets, (&events, received), &log)?;
+    let handles =
+        SharedHandles { shared: shared.clone(), services: services_tx, registry, token: access };
+    let control = start_control(&settings, keys, handles, (&events, received), &log)?;
     let traffic = Builder::new_multi_thread()
         .worker_threads(settings.traffic.threads)
         .thread_name("traffic")
@@ -71,9 +71,15 @@
         }
         .run(),
     );
-    let node =
-        Traffic { settings: &settings, shared, services, metrics, events: events.clone(), log };
-    let outcome = node.serve(&traffic, control.node);
+    let server = TrafficServer {
+        settings: &settings,
+        shared,
+        services,
+        metrics,
+        events: events.clone(),
+        log,
+    };
+    let outcome = server.serve(&traffic, control.node);
     // Sending fails only if the control thread has already ended.
     let _ = events.send(Event::Stop);
     let ended = control.thread.join().map_err(|_| anyhow!("the control thread has panicked"));
@@ -91,7 +97,7 @@
 type Services = Arc<Vec<Arc<Service>>>;
 
 /// State and channels that the control thread shares with the rest of the process.
-struct Outlets {
+struct SharedHandles {
     shared: Shared,
     services: watch::Sender<Services>,
     registry: Registry,
@@ -103,7 +109,7 @@
 fn start_control(
     settings: &Settings,
     keys: Keys,
-    outlets: Outlets,
+    handles: SharedHandles,
     (events, received): (&mpsc::UnboundedSender<Event>, mpsc::UnboundedReceiver<Event>),
     log: &Logger,
 ) -> anyhow::Result<ControlThread> {
@@ -114,8 +120,8 @@
     let (bound_tx, bound_rx) = std::sync::mpsc::channel();
     let thread = std::thread::Builder::new().name("control".into()).spawn(move || {
         let (urgent, urgent_received) = mpsc::unbounded_channel();
-        let events = ControlEvents { all: channel.0, urgent };
-        let started = runtime.block_on(bind_control(&settings, keys, outlets, events, &log));
+        let events = EventSenders { all: channel.0, urgent };
+        let started = runtime.block_on(bind_control(&settings, keys, handles, events, &log));
         match started {
             Ok(control) => {
                 let _ = bound_tx.send(Ok(()));
@@ -135,7 +141,7 @@
 }
 
 /// Senders of events to the control thread.
-struct ControlEvents {
+struct EventSenders {
     all: mpsc::UnboundedSender<Event>,
     /// For results of platform reads and of fetches from peers, which are handled first.
     urgent: mpsc::UnboundedSender<Event>,
@@ -144,12 +150,12 @@
 async fn bind_control(
     settings: &Settings,
     keys: Keys,
-    outlets: Outlets,
-    events: ControlEvents,
+    handles: SharedHandles,
+    events: EventSenders,
     log: &Logger,
 ) -> anyhow::Result<Control> {
-    let ControlEvents { all: events, urgent } = events;
-    let Outlets { shared, services, registry, token } = outlets;
+    let EventSenders { all: events, urgent } = events;
+    let SharedHandles { shared, services, registry, token } = handles;
     let addr = settings.node.addr;
     let mut rng = StdRng::from_rng(&mut rand::rng());
     let identity = Identity {
@@ -180,7 +186,7 @@
     tokio::spawn(serve_fetches(fetches, keys.clone(), backlog, bundle, on_served));
     let (published_tx, published) = watch::channel(Default::default());
     let (not_ready_tx, not_ready) = watch::channel(Some("the node is starting".to_owned()));
-    let (wanted_tx, wanted) = watch::channel(Wanted::NOTHING);
+    let (read_plan_tx, read_plan) = watch::channel(ReadPlan::NOTHING);
     let faults = settings
         .operator
         .fault_injection
@@ -193,7 +199,7 @@
     tokio::spawn(server);
     let defaults = ServiceDefaults { floor: settings.platform.floor, bias: settings.platform.bias };
     let source = platform::Reader::new(Store::new(settings.platform.addr), defaults, log.clone());
-    tokio::spawn(read_platform(source, wanted, urgent.clone(), log.clone()));
+    tokio::spawn(read_platform(source, read_plan, urgent.clone(), log.clone()));
     let ask_timeout = Duration::from_millis(settings.dispatch.ask_timeout_ms);
     let client = Client::new(exchange.id(), ask_timeout, settings.dispatch.budget().window);
     let params = ControlParams {
@@ -212,7 +218,7 @@
             published: published_tx,
             services,
             not_ready: not_ready_tx,
-            wanted: wanted_tx,
+            read_plan: read_plan_tx,
         },
         urgent,
         rng,
@@ -246,7 +252,7 @@
 }
 
 /// The listener for callers with what it needs to serve.
-struct Traffic<'a> {
+struct TrafficServer<'a> {
     settings: &'a Settings,
     shared: Shared,
     services: watch::Receiver<Services>,
@@ -255,13 +261,13 @@
     log: Logger,
 }
 
-impl Traffic<'_> {
+impl TrafficServer<'_> {
     fn serve(self, runtime: &Runtime, node: policy::NodeId) -> anyhow::Result<()> {
         let mode = self.settings.dispatch.mode;
         match mode {
             Mode::Permits | Mode::Direct | Mode::Local => {
-                let first = rand::rng().random::<u64>() >> 1;
-                let handle = Handle::new(node, first, self.events.clone());
+                let first_seq = rand::rng().random::<u64>() >> 1;
+                let handle = ControlHandle::new(node, first_seq, self.events.clone());
                 runtime.block_on(self.listen(handle))
             }
             Mode::RoundRobin => {
--- a/crates/dappleway/src/reader/tests.rs
+++ b/crates/dappleway/src/reader/tests.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use super::{LONGEST_PAUSE, Wanted, read_platform};
+use super::{MAX_RETRY_DELAY, ReadPlan, read_platform};
 use crate::event::Event;
 
 /// Kind of call to the platform.
@@ -61,61 +61,61 @@
     }
 }
 
-struct Bed {
+struct TestReader {
     calls: Calls,
-    wanted: watch::Sender<Wanted>,
+    plan: watch::Sender<ReadPlan>,
     events: mpsc::UnboundedReceiver<Event>,
 }
 
-fn start(wanted: Wanted, failing: impl IntoIterator<Item = Call>) -> Bed {
+fn start(plan: ReadPlan, failing: impl IntoIterator<Item = Call>) -> TestReader {
     let calls = Calls::default();
     let script = Script { calls: calls.clone(), failing: failing.into_iter().collect() };
-    let (wanted, rx) = watch::channel(wanted);
+    let (plan, rx) = watch::channel(plan);
     let (tx, events) = mpsc::unbounded_channel();
     let log = slog::Logger::root(slog::Discard, slog::o!());
     tokio::spawn(read_platform(script, rx, tx, log));
-    Bed { calls, wanted, events }
+    TestReader { calls, plan, events }
 }
 
 /// Registry position that is known from peers.
-const KNOWN: Position = Position { era: 1, revision: 7 };
+const KNOWN_POSITION: Position = Position { era: 1, revision: 7 };
 
-fn wanted(known: Position, others: usize) -> Wanted {
-    Wanted { reads: Reads::Everything, known, others }
+fn plan(known_position: Position, other_nodes: usize) -> ReadPlan {
+    ReadPlan { reads: Reads::Everything, known_position, other_nodes }
 }
 
 #[tokio::test(start_paused = true)]
 async fn whoever_takes_over_has_the_configuration_also_where_the_next_call_fails() {
-    let mut bed = start(wanted(KNOWN, 0), [Call::Resume]);
-    assert!(matches!(bed.events.recv().await, Some(Event::ConfigurationRead(Some(_), _))));
-    assert!(matches!(bed.events.recv().await, Some(Event::ReadFailed)));
+    let mut reader = start(plan(KNOWN_POSITION, 0), [Call::Resume]);
+    assert!(matches!(reader.events.recv().await, Some(Event::ConfigurationRead(Some(_), _))));
+    assert!(matches!(reader.events.recv().await, Some(Event::ReadFailed)));
 }
 
 /// Longest delay between two calls of a node while the platform is down.
-async fn longest_pause(others: usize) -> Duration {
-    let bed = start(wanted(Position::START, others), [Call::Everything; 12]);
+async fn longest_delay(other_nodes: usize) -> Duration {
+    let reader = start(plan(Position::START, other_nodes), [Call::Everything; 12]);
     tokio::time::sleep(Duration::from_secs(20)).await;
-    let calls = bed.calls.lock().clone();
-    let pauses = calls.windows(2).take(11).map(|it| it[1].1 - it[0].1);
-    pauses.max().unwrap()
+    let calls = reader.calls.lock().clone();
+    let delays = calls.windows(2).take(11).map(|it| it[1].1 - it[0].1);
+    delays.max().unwrap()
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_fewer_nodes_try_the_sooner_each_tries_again() {
-    assert!(longest_pause(0).await <= Duration::from_millis(270));
-    assert!(longest_pause(3).await <= Duration::from_millis(1_100));
-    assert!(longest_pause(300).await > LONGEST_PAUSE.mul_f64(0.7));
+    assert!(longest_delay(0).await <= Duration::from_millis(270));
+    assert!(longest_delay(3).await <= Duration::from_millis(1_100));
+    assert!(longest_delay(300).await > MAX_RETRY_DELAY.mul_f64(0.7));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_pause_ends_when_another_node_reads() {
-    let bed = start(wanted(Position::START, 300), [Call::Everything; 12]);
+async fn a_retry_delay_ends_when_another_node_reads() {
+    let reader = start(plan(Position::START, 300), [Call::Everything; 12]);
     tokio::time::sleep(Duration::from_secs(9)).await;
-    bed.wanted.send_replace(Wanted { reads: Reads::Nothing, ..wanted(KNOWN, 300) });
+    reader.plan.send_replace(ReadPlan { reads: Reads::Nothing, ..plan(KNOWN_POSITION, 300) });
     tokio::time::sleep(Duration::from_millis(10)).await;
-    let before = bed.calls.lock().len();
-    bed.wanted.send_replace(wanted(KNOWN, 300));
+    let before = reader.calls.lock().len();
+    reader.plan.send_replace(plan(KNOWN_POSITION, 300));
     tokio::time::sleep(Duration::from_millis(10)).await;
-    let calls: Vec<Call> = bed.calls.lock()[before..].iter().map(|it| it.0).collect();
+    let calls: Vec<Call> = reader.calls.lock()[before..].iter().map(|it| it.0).collect();
     assert_eq!(calls[..2], [Call::Configuration, Call::Resume]);
 }
