--- a/crates/dappleway/src/cli.rs
+++ b/crates/dappleway/src/cli.rs
@@ -9,17 +9,17 @@
 use resources::KeyDigest;
 use zeroize::Zeroizing;
 
-use crate::ask::{self, Failure, Output};
 use crate::node::Secrets;
+use crate::query::{self, Output, QueryError};
 use crate::settings::{self, Settings};
 use crate::{check, explain, node};
 
 /// Exit code if a node cannot start, fails or cannot be reached.
-const FAILED: u8 = 1;
+const EXIT_FAILED: u8 = 1;
 /// Exit code if arguments, settings, resources or a token are rejected.
-const REFUSED: u8 = 2;
+const EXIT_REFUSED: u8 = 2;
 /// Exit code if the requested object does not exist.
-const NOT_FOUND: u8 = 3;
+const EXIT_NOT_FOUND: u8 = 3;
 
 /// A fleet of HTTP proxies for upstreams with gray failures.
 ///
@@ -117,14 +117,14 @@
             problems => refuse(problems),
         },
         Command::Get { kind, name, target } => {
-            target.ask(|it, output| ask::get(it, kind.as_deref(), name.as_deref(), output))
+            target.query(|it, output| query::get(it, kind.as_deref(), name.as_deref(), output))
         }
         Command::Watch { after, until, target } => {
-            target.ask(|it, output| ask::watch(it, after, until, output))
+            target.query(|it, output| query::watch(it, after, until, output))
         }
-        Command::Fleet { target } => target.ask(ask::fleet),
+        Command::Fleet { target } => target.query(query::fleet),
         Command::Explain { logs, subject, target } => explain(logs, subject, &target),
-        Command::Key => digest(),
+        Command::Key => print_key_digest(),
         Command::Settings => {
             print!("{}", toml::to_string(&Settings::example()).expect("plain data"));
             ExitCode::SUCCESS
@@ -138,7 +138,7 @@
 }
 
 /// Prints the digest of a key from standard input. A key given as an argument would be visible in the process list.
-fn digest() -> ExitCode {
+fn print_key_digest() -> ExitCode {
     let mut text = Zeroizing::new(String::new());
     match std::io::stdin().read_line(&mut text) {
         Ok(_) if !text.trim_end().is_empty() => {
@@ -165,7 +165,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("{error:#}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
@@ -180,7 +180,7 @@
         return refuse(["give the id of a request with --logs FILE…, or an endpoint".to_owned()]);
     };
     if logs.is_empty() {
-        return target.ask(|it, output| ask::explain(it, &subject, output));
+        return target.query(|it, output| query::explain(it, &subject, output));
     }
     match explain::explain(&logs, &subject) {
         Ok(Some(lines)) => {
@@ -189,16 +189,16 @@
         }
         Ok(None) => {
             eprintln!("{subject}: no log line about it: give the logs of all nodes of that time");
-            ExitCode::from(NOT_FOUND)
+            ExitCode::from(EXIT_NOT_FOUND)
         }
         Err(problem) => refuse([problem]),
     }
 }
 
 impl Target {
-    fn ask(
+    fn query(
         &self,
-        question: impl AsyncFnOnce(operator::Client, Output) -> Result<(), Failure>,
+        query: impl AsyncFnOnce(operator::Client, Output) -> Result<(), QueryError>,
     ) -> ExitCode {
         let token = match self.token_file.as_ref().map(|it| (it, std::fs::read_to_string(it))) {
             None => None,
@@ -208,20 +208,20 @@
         let client = operator::Client { addr: self.node, token };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let outcome = match runtime {
-            Ok(it) => it.block_on(question(client, self.output)),
-            Err(error) => Err(Failure::Output(error)),
+            Ok(it) => it.block_on(query(client, self.output)),
+            Err(error) => Err(QueryError::Output(error)),
         };
-        let Err(failure) = outcome else { return ExitCode::SUCCESS };
-        eprintln!("{failure}");
-        ExitCode::from(match failure {
-            Failure::NotFound(_) => NOT_FOUND,
-            Failure::Refused(_) => REFUSED,
-            Failure::Unreachable(_) | Failure::Output(_) => FAILED,
+        let Err(error) = outcome else { return ExitCode::SUCCESS };
+        eprintln!("{error}");
+        ExitCode::from(match error {
+            QueryError::NotFound(_) => EXIT_NOT_FOUND,
+            QueryError::Refused(_) => EXIT_REFUSED,
+            QueryError::Unreachable(_) | QueryError::Output(_) => EXIT_FAILED,
         })
     }
 }
 
 fn refuse(problems: impl IntoIterator<Item = String>) -> ExitCode {
     problems.into_iter().for_each(|it| eprintln!("{it}"));
-    ExitCode::from(REFUSED)
+    ExitCode::from(EXIT_REFUSED)
 }
--- a/crates/dappleway/src/explain.rs
+++ b/crates/dappleway/src/explain.rs
@@ -6,18 +6,19 @@
 use serde_json::Value;
 
 /// Fields that are not printed as `name=value`: fields that every line has, and fields for programs.
-const LEFT_OUT: [&str; 8] = ["msg", "level", "ts", "node", "request_id", "trace", "span", "parent"];
+const OMITTED_FIELDS: [&str; 8] =
+    ["msg", "level", "ts", "node", "request_id", "trace", "span", "parent"];
 
 /// One log line.
 #[derive(Debug)]
-struct Line {
+struct LogLine {
     ts: String,
     node: String,
     msg: String,
     record: Value,
 }
 
-impl Line {
+impl LogLine {
     /// Parses a log line; returns `None` for text that is not a log record, such as other output of a program.
     fn parse(text: &str) -> Option<Self> {
         // A log collector may put a prefix before the record.
@@ -26,15 +27,15 @@
         Some(Self { ts: field("ts")?, node: field("node")?, msg: field("msg")?, record })
     }
 
-    fn has(&self, name: &str, value: &str) -> bool {
+    fn has_field(&self, name: &str, value: &str) -> bool {
         self.record.get(name).and_then(Value::as_str) == Some(value)
     }
 
-    fn show(&self) -> String {
+    fn render(&self) -> String {
         let fields = self.record.as_object().into_iter().flatten();
-        let fields = fields.filter(|(name, _)| !LEFT_OUT.contains(&name.as_str()));
-        let shown: Vec<String> = fields.map(|(name, value)| format!("{name}={value}")).collect();
-        format!("{} {} {}: {}", self.ts, self.node, self.msg, shown.join(" "))
+        let fields = fields.filter(|(name, _)| !OMITTED_FIELDS.contains(&name.as_str()));
+        let pairs: Vec<String> = fields.map(|(name, value)| format!("{name}={value}")).collect();
+        format!("{} {} {}: {}", self.ts, self.node, self.msg, pairs.join(" "))
     }
 }
 
@@ -45,28 +46,30 @@
     for path in files {
         let text =
             std::fs::read_to_string(path).map_err(|it| format!("{}: {it}", path.display()))?;
-        lines.extend(text.lines().filter_map(Line::parse));
+        lines.extend(text.lines().filter_map(LogLine::parse));
     }
-    Ok(story(lines, id))
+    Ok(lines_about(lines, id))
 }
 
-fn story(mut lines: Vec<Line>, id: &str) -> Option<Vec<String>> {
+fn lines_about(mut lines: Vec<LogLine>, id: &str) -> Option<Vec<String>> {
     lines.sort_by(|a, b| a.ts.cmp(&b.ts));
-    let own: Vec<&Line> = lines.iter().filter(|it| it.has("request_id", id)).collect();
-    let (first, last) = (own.first()?, own.last()?);
-    let span = first.ts.as_str()..=last.ts.as_str();
+    let about_request: Vec<&LogLine> =
+        lines.iter().filter(|it| it.has_field("request_id", id)).collect();
+    let (first, last) = (about_request.first()?, about_request.last()?);
+    let time_range = first.ts.as_str()..=last.ts.as_str();
     let endpoints: BTreeSet<&str> =
-        own.iter().filter_map(|it| it.record.get("endpoint")?.as_str()).collect();
-    let speaks_of_endpoint = |it: &&Line| {
+        about_request.iter().filter_map(|it| it.record.get("endpoint")?.as_str()).collect();
+    let is_endpoint_state = |it: &&LogLine| {
         it.msg == "endpoint state"
-            && span.contains(&it.ts.as_str())
-            && endpoints.iter().any(|endpoint| it.has("endpoint", endpoint))
+            && time_range.contains(&it.ts.as_str())
+            && endpoints.iter().any(|endpoint| it.has_field("endpoint", endpoint))
     };
-    let told = lines.iter().filter(|it| it.has("request_id", id) || speaks_of_endpoint(it));
-    Some(told.map(Line::show).collect())
+    let selected =
+        lines.iter().filter(|it| it.has_field("request_id", id) || is_endpoint_state(it));
+    Some(selected.map(LogLine::render).collect())
 }
 
 #[cfg(test)]
-pub(crate) fn story_of(text: &str, id: &str) -> Option<Vec<String>> {
-    story(text.lines().filter_map(Line::parse).collect(), id)
+pub(crate) fn explain_text(text: &str, id: &str) -> Option<Vec<String>> {
+    lines_about(text.lines().filter_map(LogLine::parse).collect(), id)
 }
--- a/crates/dappleway/src/logging.rs
+++ b/crates/dappleway/src/logging.rs
@@ -16,11 +16,11 @@
 pub use budget::Budget;
 
 /// Maximum number of lines queued for standard output: a few seconds of lines if all kinds use up their budgets.
-const QUEUE: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 /// Timeout for writing out the queue when the process ends.
-const FLUSH: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval at which dropped lines are reported.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The lowest severity that is logged; it can be changed while the process runs.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
         self.0.store(severity(level).as_usize(), Ordering::Relaxed);
     }
 
-    fn lets_pass(&self, level: slog::Level) -> bool {
+    fn is_enabled(&self, level: slog::Level) -> bool {
         level.as_usize() <= self.0.load(Ordering::Relaxed)
     }
 }
@@ -63,35 +63,35 @@
         let level = LevelSwitch::new(settings.level);
         let budget = Arc::new(Budget::new(settings, left_out));
         let json = slog_json::Json::default(std::io::stdout()).fuse();
-        let (queue, guard) = AsyncCore::custom(json).chan_size(QUEUE).build_with_guard();
-        let drain = Bounded { queue, level: level.clone(), budget: budget.clone() };
+        let (queue, guard) = AsyncCore::custom(json).chan_size(MAX_QUEUED_LINES).build_with_guard();
+        let drain = BudgetedDrain { queue, level: level.clone(), budget: budget.clone() };
         let log = Logger::root(drain.fuse(), o!("node" => node.to_owned()));
         Ok(Self { log, level, budget, guard })
     }
 }
 
 /// Queues records within the budget of their kind, and drops and counts the others.
-struct Bounded {
+struct BudgetedDrain {
     queue: AsyncCore,
     level: LevelSwitch,
     budget: Arc<Budget>,
 }
 
 // A panic leaves the line counts in a usable state.
-impl std::panic::RefUnwindSafe for Bounded {}
-impl std::panic::UnwindSafe for Bounded {}
+impl std::panic::RefUnwindSafe for BudgetedDrain {}
+impl std::panic::UnwindSafe for BudgetedDrain {}
 
-impl Drain for Bounded {
+impl Drain for BudgetedDrain {
     type Ok = ();
     type Err = AsyncError;
 
     fn log(&self, record: &slog::Record<'_>, values: &slog::OwnedKVList) -> Result<(), AsyncError> {
-        if !self.level.lets_pass(record.level()) || !self.budget.admits(record) {
+        if !self.level.is_enabled(record.level()) || !self.budget.admits(record) {
             return Ok(());
         }
         match self.queue.log(record, values) {
             Err(AsyncError::Full) => {
-                self.budget.queue_was_full();
+                self.budget.count_queue_full();
                 Ok(())
             }
             other => other,
@@ -101,21 +101,21 @@
 
 /// Writes out the queued lines, with a timeout in case nobody reads standard output.
 pub fn flush(guard: AsyncGuard) {
-    let (done, is_done) = std::sync::mpsc::channel();
+    let (done_tx, done_rx) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         drop(guard);
         // The receiver may have timed out already.
-        let _ = done.send(());
+        let _ = done_tx.send(());
     });
     // After a timeout the process ends without writing its last lines.
-    let _ = is_done.recv_timeout(FLUSH);
+    let _ = done_rx.recv_timeout(FLUSH_TIMEOUT);
 }
 
 /// Logs every second how many lines of each kind were dropped.
 pub async fn report_left_out(budget: Arc<Budget>, log: Logger) {
-    let mut due = tokio::time::interval(REPORT_EVERY);
+    let mut ticks = tokio::time::interval(REPORT_INTERVAL);
     loop {
-        due.tick().await;
+        ticks.tick().await;
         for it in budget.take_left_out() {
             warn!(log, "log lines left out"; "kind" => it.kind,
                 "severity" => it.severity.as_short_str(), "lines" => it.lines);
--- a/crates/dappleway/src/logging/budget.rs
+++ b/crates/dappleway/src/logging/budget.rs
@@ -23,15 +23,15 @@
 pub struct Budget {
     per_s: f64,
     healthy_per_s: f64,
-    kinds: Mutex<FxHashMap<(&'static str, Level), Kind>>,
+    kinds: Mutex<FxHashMap<(&'static str, Level), KindBucket>>,
     left_out: IntCounterVec,
 }
 
 /// A token bucket whose capacity is the lines of one second.
 #[derive(Debug)]
-struct Kind {
+struct KindBucket {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
     left_out: u64,
 }
 
@@ -68,10 +68,11 @@
     }
 
     /// Counts a line that was dropped because the queue is full.
-    pub fn queue_was_full(&self) {
+    pub fn count_queue_full(&self) {
         self.left_out.with_label_values(&["queue"]).inc();
         let mut kinds = self.kinds.lock();
-        let kind = kinds.entry((QUEUE_FULL, Level::Warning)).or_insert_with(|| Kind::new(0.0));
+        let kind =
+            kinds.entry((QUEUE_FULL, Level::Warning)).or_insert_with(|| KindBucket::new(0.0));
         kind.left_out += 1;
     }
 
@@ -92,10 +93,10 @@
             _ => self.per_s,
         };
         let mut kinds = self.kinds.lock();
-        let it = kinds.entry((text, level)).or_insert_with(|| Kind::new(per_s));
-        let gained = now.saturating_duration_since(it.filled).as_secs_f64() * per_s;
-        it.tokens = (it.tokens + gained).min(per_s);
-        it.filled = now;
+        let it = kinds.entry((text, level)).or_insert_with(|| KindBucket::new(per_s));
+        let refill = now.saturating_duration_since(it.refilled_at).as_secs_f64() * per_s;
+        it.tokens = (it.tokens + refill).min(per_s);
+        it.refilled_at = now;
         let is_admitted = it.tokens >= 1.0;
         match is_admitted {
             true => it.tokens -= 1.0,
@@ -105,8 +106,8 @@
     }
 }
 
-impl Kind {
+impl KindBucket {
     fn new(tokens: f64) -> Self {
-        Self { tokens, filled: Instant::now(), left_out: 0 }
+        Self { tokens, refilled_at: Instant::now(), left_out: 0 }
     }
 }
--- a/crates/dappleway/src/main.rs
+++ b/crates/dappleway/src/main.rs
@@ -1,6 +1,5 @@
 //! `dappleway`: a fleet of HTTP proxies for upstreams with gray failures. See README.md and docs/OPERATIONS.md.
 
-mod ask;
 mod baselines;
 mod check;
 mod cli;
@@ -10,6 +9,7 @@
 mod handle;
 mod logging;
 mod node;
+mod query;
 mod reader;
 mod reload;
 mod services;
--- a/crates/dappleway/src/ask.rs
+++ b/crates/dappleway/src/query.rs
@@ -11,7 +11,7 @@
 use tabwriter::TabWriter;
 
 /// Time after which a watch request without a new version is sent again; nodes hold one for at most a minute.
-const WATCH: Duration = Duration::from_secs(30);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
@@ -24,7 +24,7 @@
 
 /// Why a query failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum QueryError {
     /// The requested object does not exist at the node.
     #[error("{0}")]
     NotFound(String),
@@ -39,7 +39,7 @@
     Output(#[from] io::Error),
 }
 
-impl From<ClientError> for Failure {
+impl From<ClientError> for QueryError {
     fn from(it: ClientError) -> Self {
         match it {
             ClientError::Refused { status, message } if status.as_u16() == 404 => {
@@ -57,7 +57,7 @@
     kind: Option<&str>,
     name: Option<&str>,
     output: Output,
-) -> Result<(), Failure> {
+) -> Result<(), QueryError> {
     let items = match (kind, name) {
         (Some(kind), Some(name)) => vec![client.resource(kind, name).await?],
         _ => client.resources(kind).await?.items,
@@ -71,8 +71,8 @@
             &spec.kind(),
             &spec.name(),
             &status.in_force,
-            &maybe(status.healthy),
-            &maybe(status.floor),
+            &number_or_dash(status.healthy),
+            &number_or_dash(status.floor),
         ])?;
     }
     table.print()
@@ -84,73 +84,73 @@
     mut after: u64,
     until: Option<u64>,
     output: Output,
-) -> Result<(), Failure> {
+) -> Result<(), QueryError> {
     loop {
-        let seen = client.watch(after, WATCH).await?;
-        if seen.version > after {
+        let resources = client.watch(after, WATCH_TIMEOUT).await?;
+        if resources.version > after {
             match output {
-                Output::Json => print_json(&seen)?,
+                Output::Json => print_json(&resources)?,
                 Output::Table => writeln!(
                     io::stdout(),
                     "version {} is in force: {} resources",
-                    seen.version,
-                    seen.items.len()
+                    resources.version,
+                    resources.items.len()
                 )?,
             }
-            after = seen.version;
+            after = resources.version;
         }
-        if until.is_some_and(|it| seen.version >= it) {
+        if until.is_some_and(|it| resources.version >= it) {
             return Ok(());
         }
     }
 }
 
 /// Prints the fleet as the node sees it.
-pub async fn fleet(client: Client, output: Output) -> Result<(), Failure> {
+pub async fn fleet(client: Client, output: Output) -> Result<(), QueryError> {
     let report = client.fleet().await?;
     if output == Output::Json {
         return print_json(&report);
     }
-    nodes(&report)?;
-    services(&report)?;
-    organisations(&report)?;
-    endpoints(report.services.iter().flat_map(|it| it.endpoints.iter().map(move |e| (it, e))))
+    print_nodes(&report)?;
+    print_services(&report)?;
+    print_organisations(&report)?;
+    print_endpoints(report.services.iter().flat_map(|it| it.endpoints.iter().map(move |e| (it, e))))
 }
 
 /// Prints the state of an endpoint and the reasons for it.
-pub async fn explain(client: Client, subject: &str, output: Output) -> Result<(), Failure> {
+pub async fn explain(client: Client, subject: &str, output: Output) -> Result<(), QueryError> {
     let report = client.fleet().await?;
-    let is_meant = |it: &EndpointReport| it.id == subject || it.addr == subject;
+    let matches_subject = |it: &EndpointReport| it.id == subject || it.addr == subject;
     let found: Vec<_> = report
         .services
         .iter()
         .flat_map(|it| it.endpoints.iter().map(move |e| (it, e)))
-        .filter(|(_, it)| is_meant(it))
+        .filter(|(_, it)| matches_subject(it))
         .collect();
     if found.is_empty() {
         let node = client.addr;
-        return Err(Failure::NotFound(format!(
+        return Err(QueryError::NotFound(format!(
             "{subject}: no such endpoint at {node}: it has left, or its address now belongs to another id"
         )));
     }
     if output == Output::Json {
         return found.iter().try_for_each(|(_, it)| print_json(it));
     }
-    endpoints(found.iter().copied())?;
+    print_endpoints(found.iter().copied())?;
     for (service, it) in found {
-        writeln!(io::stdout(), "\n{}", why(&report, service, it))?;
+        writeln!(io::stdout(), "\n{}", explanation(&report, service, it))?;
     }
     Ok(())
 }
 
 /// Explains the state of an endpoint in plain text.
-fn why(report: &Report, service: &ServiceReport, it: &EndpointReport) -> String {
+fn explanation(report: &Report, service: &ServiceReport, it: &EndpointReport) -> String {
     let failed = match it.failed_ms {
         Some(ms) => format!("its last known failure was {ms} ms ago"),
         None => "no failure is known".to_owned(),
     };
     let dispatcher = service.dispatched_by.as_deref().unwrap_or("nobody");
-    let whose = match it.dispatched_here {
+    let authority = match it.dispatched_here {
         true => "this node hands out its slots, so this state is authoritative".to_owned(),
         false => {
             format!("{dispatcher} hands out its slots: ask that node for the authoritative state")
@@ -165,7 +165,7 @@
     format!(
         "{}: `{}` for {} ms, used {}: sick with a probability of {:.2}, and {failed}.{limit}\n\
          {} of {} endpoints of {} are proven healthy, its floor is {}. {} knows the registry up to \
-         era {}, revision {}; {whose}.",
+         era {}, revision {}; {authority}.",
         it.id,
         it.state,
         it.since_ms,
@@ -181,7 +181,7 @@
     )
 }
 
-fn nodes(report: &Report) -> Result<(), Failure> {
+fn print_nodes(report: &Report) -> Result<(), QueryError> {
     let mut table = Table::new(&["NODE", "PHASE", "IN FORCE", "REGISTRY", "HEARD MS AGO"]);
     let position = Position { era: report.registry_era, revision: report.registry_revision };
     table.row(&[&report.node, &report.phase, &report.in_force, &position, &"(asked)"])?;
@@ -192,7 +192,7 @@
     table.print()
 }
 
-fn services(report: &Report) -> Result<(), Failure> {
+fn print_services(report: &Report) -> Result<(), QueryError> {
     let mut table =
         Table::new(&["\nSERVICE", "ENDPOINTS", "HEALTHY", "FLOOR", "QUEUED", "DISPATCHED BY"]);
     for it in &report.services {
@@ -203,7 +203,7 @@
     table.print()
 }
 
-fn organisations(report: &Report) -> Result<(), Failure> {
+fn print_organisations(report: &Report) -> Result<(), QueryError> {
     if report.organisations.is_empty() {
         return Ok(());
     }
@@ -226,9 +226,9 @@
     table.print()
 }
 
-fn endpoints<'a>(
+fn print_endpoints<'a>(
     all: impl Iterator<Item = (&'a ServiceReport, &'a EndpointReport)>,
-) -> Result<(), Failure> {
+) -> Result<(), QueryError> {
     let titles =
         ["\nENDPOINT", "SERVICE", "ADDRESS", "DOMAIN", "STATE", "USED", "SICK", "SLOTS IN USE"];
     let mut table = Table::new(&titles);
@@ -259,22 +259,22 @@
         Self(out)
     }
 
-    fn row(&mut self, cells: &[&dyn Display]) -> Result<(), Failure> {
+    fn row(&mut self, cells: &[&dyn Display]) -> Result<(), QueryError> {
         let cells: Vec<String> = cells.iter().map(|it| it.to_string()).collect();
         Ok(writeln!(self.0, "{}", cells.join("\t"))?)
     }
 
-    fn print(self) -> Result<(), Failure> {
+    fn print(self) -> Result<(), QueryError> {
         let buf = self.0.into_inner().map_err(|it| io::Error::other(it.to_string()))?;
         Ok(io::stdout().write_all(&buf)?)
     }
 }
 
-fn maybe(it: Option<usize>) -> String {
+fn number_or_dash(it: Option<usize>) -> String {
     it.map_or("-".to_owned(), |it| it.to_string())
 }
 
-fn print_json(it: &impl Serialize) -> Result<(), Failure> {
+fn print_json(it: &impl Serialize) -> Result<(), QueryError> {
     let text = serde_json::to_string(it).map_err(io::Error::other)?;
     Ok(writeln!(io::stdout(), "{text}")?)
 }
--- a/crates/dappleway/src/settings/keys.rs
+++ b/crates/dappleway/src/settings/keys.rs
@@ -26,12 +26,12 @@
     let mut problems = Vec::new();
     for (section, value) in table {
         let Some(known_section) = known.get(section).and_then(toml::Value::as_table) else {
-            problems.push(unknown(section, known.keys()));
+            problems.push(unknown_key(section, known.keys()));
             continue;
         };
         for key in value.as_table().into_iter().flat_map(toml::Table::keys) {
             if !known_section.contains_key(key) {
-                let mut it = unknown(key, known_section.keys());
+                let mut it = unknown_key(key, known_section.keys());
                 it.key = format!("{section}.{key}");
                 problems.push(it);
             }
@@ -40,13 +40,13 @@
     problems
 }
 
-fn unknown<'a>(key: &str, known: impl Iterator<Item = &'a String>) -> SettingsProblem {
-    let nearest = known.min_by_key(|it| distance(key, it)).map_or("", String::as_str);
+fn unknown_key<'a>(key: &str, known: impl Iterator<Item = &'a String>) -> SettingsProblem {
+    let nearest = known.min_by_key(|it| edit_distance(key, it)).map_or("", String::as_str);
     problem(key, format!("is no setting: did you mean `{nearest}`?"))
 }
 
 /// Levenshtein distance.
-fn distance(a: &str, b: &str) -> usize {
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.chars().enumerate() {
--- a/crates/dappleway/src/tests.rs
+++ b/crates/dappleway/src/tests.rs
@@ -2,7 +2,7 @@
 
 use expect_test::{Expect, expect};
 
-use crate::explain::story_of;
+use crate::explain::explain_text;
 use crate::logging::Budget;
 use crate::settings::{Level, Log, Settings, changed_keys, parse};
 
@@ -85,13 +85,13 @@
 
 #[test]
 fn a_request_is_explained_from_the_logs_of_several_nodes() {
-    let told = story_of(LOGS, "r1").unwrap().join("\n");
+    let lines = explain_text(LOGS, "r1").unwrap().join("\n");
     expect![[r#"
         10:00:00.100 n1 send: choice="good" endpoint="i-1" outcome="failed"
         10:00:00.200 n2 endpoint state: endpoint="i-1" reason="used last: a request failed"
         10:00:00.400 n1 request: outcome="answered" status=500"#]]
-    .assert_eq(&told);
-    assert_eq!(story_of(LOGS, "r3"), None, "no line is about the request");
+    .assert_eq(&lines);
+    assert_eq!(explain_text(LOGS, "r3"), None, "no line is about the request");
 }
 
 fn log_budget(lines_per_s: u32, healthy_requests_per_s: u32) -> Budget {
