--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -99,7 +99,7 @@
 /// The monotonic clock stops while the VM is suspended. With that clock, permits, repeat credits and freshness
 /// confirmations would count as younger than they are by the length of the suspension.
 #[tokio::test]
-async fn a_suspension_of_the_machine_is_a_pause() {
+async fn a_suspension_of_the_vm_is_a_pause() {
     let (urgent, _received) = mpsc::unbounded_channel();
     let mut control = control(urgent).await;
     let before = control.now();
@@ -130,7 +130,7 @@
 }
 
 #[tokio::test]
-async fn only_the_first_choice_of_all_nodes_has_the_whole_of_a_rate_limit() {
+async fn only_the_first_choice_of_all_nodes_has_the_full_rate_limit() {
     let (urgent, _received) = mpsc::unbounded_channel();
     let mut control = control(urgent).await;
     let config = Config::compile(serde_json::from_str(LIMITED).unwrap()).unwrap();
--- a/crates/dappleway/tests/crashing.rs
+++ b/crates/dappleway/tests/crashing.rs
@@ -21,12 +21,12 @@
 use standin::upstream::CRASHING;
 
 /// Nodes that can reach each other know of a crash within this time.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Maximum number of crashes after all nodes could have known that the request crashes endpoints.
-const LATE_SENDS: usize = 3;
+const MAX_LATE_CRASHES: usize = 3;
 
 /// Timeout for the start of a node.
-const START: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn crashes(bed: &Bed) -> Vec<Instant> {
     let mut all: Vec<Instant> = bed.upstreams.iter().flat_map(|it| it.crashes()).collect();
@@ -40,19 +40,23 @@
     let bed = Bed::start(bin, &Layout::small()).await.unwrap();
     let harmless = Plan { path: "/slots/harmless".into(), ..bed.lookups(50.0, 9.0) };
     let crashing = Plan { path: format!("/slots/today?{CRASHING}=1"), ..bed.lookups(20.0, 9.0) };
-    let (_, seen) = tokio::join!(caller::run(harmless.clone()), caller::run(crashing));
-    assert_eq!(seen.answered, 0, "{seen:?}");
+    let (_, summary) = tokio::join!(caller::run(harmless.clone()), caller::run(crashing));
+    assert_eq!(summary.answered, 0, "{summary:?}");
     let all = crashes(&bed);
-    let excused = all[2] + CONTACT;
-    let late = all.iter().filter(|at| **at > excused).count();
-    assert!(late <= LATE_SENDS, "{late} of {} crashes come after all could know", all.len());
+    let known_by = all[2] + PROPAGATION_TIME;
+    let late = all.iter().filter(|at| **at > known_by).count();
+    assert!(
+        late <= MAX_LATE_CRASHES,
+        "{late} of {} crashes come after all nodes could have known",
+        all.len()
+    );
 
     let after = caller::run(Plan { duration: Duration::from_secs(2), ..harmless }).await;
     assert!(after.answered * 100 >= after.sent * 98, "the endpoints are in use again: {after:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_start_anew_one_after_the_other_do_not_send_it_on() {
+async fn nodes_that_restart_one_after_the_other_do_not_send_it_on() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
     let mut bed = Bed::start(bin, &Layout::small()).await.unwrap();
     let path = format!("/slots/today?{CRASHING}=1");
@@ -62,9 +66,9 @@
     assert!(before >= 3);
     for i in 0..bed.nodes.len() {
         bed.nodes[i].restart().unwrap();
-        bed.nodes[i].wait_ready(START).await.unwrap();
+        bed.nodes[i].wait_ready(START_TIMEOUT).await.unwrap();
         caller::run(Plan { duration: Duration::from_secs(1), ..crashing.clone() }).await;
     }
     let after = crashes(&bed).len() - before;
-    assert!(after <= LATE_SENDS, "{after} endpoints end after {before}");
+    assert!(after <= MAX_LATE_CRASHES, "{after} crashes after {before} earlier ones");
 }
--- a/crates/dappleway/tests/keys.rs
+++ b/crates/dappleway/tests/keys.rs
@@ -39,10 +39,10 @@
     loop {
         let got =
             client::get_with(bed.nodes[node].addrs.traffic, "/slots/1", headers).await.unwrap();
-        let may_be_outdated = got.status.as_u16() == 503
+        let is_unconfirmed = got.status.as_u16() == 503
             && got.header("x-request-outcome") == "not-run"
             && got.text().contains("may have missed a change of configuration");
-        if !may_be_outdated {
+        if !is_unconfirmed {
             return got;
         }
         assert!(Instant::now() < limit, "node {node} is never up to date: {}", got.text());
@@ -56,8 +56,8 @@
     for (key, name) in [(ALICE, "alice"), (ALICE_TOO, "alice"), (BOB, "bob")] {
         let forged = [("x-api-key", key), ("x-tenant", "mallory"), ("connection", "x-tenant")];
         let got = lookup(&bed, 0, &forged).await;
-        let told = (got.header(TOLD_ORGANISATION), got.header(TOLD_KEY));
-        assert_eq!((got.status.as_u16(), told), (200, (name, "")), "{key}");
+        let forwarded = (got.header(TOLD_ORGANISATION), got.header(TOLD_KEY));
+        assert_eq!((got.status.as_u16(), forwarded), (200, (name, "")), "{key}");
     }
 }
 
@@ -136,10 +136,10 @@
 async fn wait_for_log(bed: &Bed, text: &str) {
     let limit = Instant::now() + Duration::from_secs(60);
     while Instant::now() < limit {
-        let has_it = |it: &standin::lab::Node| {
+        let contains_text = |it: &standin::lab::Node| {
             std::fs::read_to_string(&it.log).is_ok_and(|log| log.contains(text))
         };
-        if bed.nodes.iter().any(has_it) {
+        if bed.nodes.iter().any(contains_text) {
             return;
         }
         sleep(Duration::from_millis(50)).await;
@@ -176,14 +176,14 @@
             neighbours += u32::from(got.status.as_u16() == 200);
         }
     }
-    let owned = bed.nodes[0].report().await.unwrap()["organisations"].clone();
-    let owner = owned.as_array().unwrap().iter().find(|it| it["name"] == "alice").unwrap();
-    assert_eq!(owner["rate_per_s"], 20.0, "{owned}");
-    assert!(owner["owned_by"].is_string(), "{owned}");
-    let windows = started.elapsed().as_secs_f64();
-    let bound = (20.0 * windows + 10.0) * 1.25 + 20.0;
-    assert!(f64::from(served) <= bound, "{served} served in {windows} s");
-    assert!(served >= 10 && refused > 0, "{served} served, {refused} refused in {windows} s");
+    let organisations = bed.nodes[0].report().await.unwrap()["organisations"].clone();
+    let owner = organisations.as_array().unwrap().iter().find(|it| it["name"] == "alice").unwrap();
+    assert_eq!(owner["rate_per_s"], 20.0, "{organisations}");
+    assert!(owner["owned_by"].is_string(), "{organisations}");
+    let elapsed = started.elapsed().as_secs_f64();
+    let bound = (20.0 * elapsed + 10.0) * 1.25 + 20.0;
+    assert!(f64::from(served) <= bound, "{served} served in {elapsed} s");
+    assert!(served >= 10 && refused > 0, "{served} served, {refused} refused in {elapsed} s");
     assert_eq!(neighbours, 10);
 }
 
--- a/crates/dappleway/tests/notices.rs
+++ b/crates/dappleway/tests/notices.rs
@@ -8,12 +8,12 @@
 use standin::upstream::{Fault, Says};
 
 /// Time after which a leaving endpoint gets no new requests.
-const LEAVING: Duration = Duration::from_secs(2);
-const REST: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(2);
+const BACKOFF: Duration = Duration::from_secs(3);
 /// Requests that were already sent may arrive at an endpoint within this time after it asked for a back-off.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 /// Maximum number of further requests during the back-off.
-const BEFORE_THE_END: usize = 2;
+const MAX_DURING_BACKOFF: usize = 2;
 
 fn count(arrivals: &[Instant], from: Instant, to: Instant) -> usize {
     arrivals.iter().filter(|it| (from..to).contains(it)).count()
@@ -26,28 +26,34 @@
     caller::run(bed.lookups(100.0, 1.0)).await;
     let leaving = &bed.upstreams[0];
     leaving.say(Says { leaving: true, ..Says::default() });
-    let told_by = Instant::now() + LEAVING;
-    let seen = caller::run(bed.lookups(100.0, 6.0)).await;
-    let late = count(&leaving.arrivals(), told_by, Instant::now());
+    let known_by = Instant::now() + PROPAGATION_TIME;
+    let summary = caller::run(bed.lookups(100.0, 6.0)).await;
+    let late = count(&leaving.arrivals(), known_by, Instant::now());
     assert_eq!(late, 0, "requests after all nodes could have known");
-    assert!(seen.answered * 100 >= seen.sent * 99, "the others have slots to spare: {seen:?}");
+    assert!(
+        summary.answered * 100 >= summary.sent * 99,
+        "the others have slots to spare: {summary:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_asks_a_node_for_rest_has_it() {
+async fn an_endpoint_that_asks_a_node_for_a_backoff_gets_it() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
     let bed = Bed::start(bin, &Layout { nodes: 1, ..Layout::small() }).await.unwrap();
     caller::run(bed.lookups(100.0, 1.0)).await;
-    let resting = &bed.upstreams[0];
-    resting.say(Says { rest: Some(REST.as_secs_f64()), ..Says::default() });
-    resting.set_fault(Fault::Shed, 1.0, 1.0);
-    let before = resting.arrivals().len();
-    let seen = caller::run(bed.lookups(100.0, 8.0)).await;
-    let arrivals = &resting.arrivals()[before..];
+    let backing_off = &bed.upstreams[0];
+    backing_off.say(Says { rest: Some(BACKOFF.as_secs_f64()), ..Says::default() });
+    backing_off.set_fault(Fault::Shed, 1.0, 1.0);
+    let before = backing_off.arrivals().len();
+    let summary = caller::run(bed.lookups(100.0, 8.0)).await;
+    let arrivals = &backing_off.arrivals()[before..];
     assert!(!arrivals.is_empty(), "the endpoint gets a request at all");
-    for asked in arrivals {
-        let n = count(arrivals, *asked + UNDER_WAY, *asked + REST);
-        assert!(n <= BEFORE_THE_END, "{n} requests during the back-off");
+    for arrival in arrivals {
+        let n = count(arrivals, *arrival + IN_FLIGHT_TIME, *arrival + BACKOFF);
+        assert!(n <= MAX_DURING_BACKOFF, "{n} requests during the back-off");
     }
-    assert!(seen.answered * 100 >= seen.sent * 99, "the others have slots to spare: {seen:?}");
+    assert!(
+        summary.answered * 100 >= summary.sent * 99,
+        "the others have slots to spare: {summary:?}"
+    );
 }
--- a/crates/dappleway/tests/older_copy.rs
+++ b/crates/dappleway/tests/older_copy.rs
@@ -27,14 +27,14 @@
 const GONE: Duration = Duration::from_secs(3);
 
 /// A store, its reader, and the replica that a node keeps of the data that is read.
-struct World {
+struct Fixture {
     platform: Platform,
     reader: Reader,
     replica: Replica,
     now: Time,
 }
 
-impl World {
+impl Fixture {
     async fn new() -> Self {
         let platform = Platform::default();
         platform.publish(&documents());
@@ -44,24 +44,24 @@
         let defaults = ServiceDefaults { floor: Floor::Percent(70), bias: Bias::Balanced };
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let reader = Reader::new(Store::new(addr), defaults, log);
-        let mut world = Self { platform, reader, replica: Replica::default(), now: Time(0) };
-        world.take(true).await;
-        world
+        let mut fixture = Self { platform, reader, replica: Replica::default(), now: Time(0) };
+        fixture.read(true).await;
+        fixture
     }
 
     /// Reads everything or the next changes into the replica. Reads everything if the store no longer has the changes.
-    async fn take(&mut self, mut everything: bool) {
+    async fn read(&mut self, mut everything: bool) {
         loop {
             let read = match everything {
                 true => self.reader.read().await,
                 false => self.reader.next().await,
             };
             match read {
-                Ok(news) => {
-                    if let Some(it) = &news.document {
+                Ok(published) => {
+                    if let Some(it) = &published.document {
                         self.replica.accept(Arc::new(it.clone()));
                     }
-                    self.replica.update(self.now, &news);
+                    self.replica.update(self.now, &published);
                     return;
                 }
                 Err(SourceError::Forgotten) => everything = true,
@@ -70,11 +70,11 @@
         }
     }
 
-    async fn follow(&mut self) {
-        self.take(false).await;
+    async fn read_changes(&mut self) {
+        self.read(false).await;
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now = self.now + time;
         self.replica.tick(self.now);
     }
@@ -110,59 +110,59 @@
 
 #[tokio::test]
 async fn an_endpoint_that_leaves_after_the_return_is_known_to_leave() {
-    let mut world = World::new().await;
-    let copy = world.platform.revision();
+    let mut fixture = Fixture::new().await;
+    let older_copy = fixture.platform.revision();
     for id in ["i-7", "i-8", "i-9"] {
-        register(&world.platform, id);
+        register(&fixture.platform, id);
     }
-    world.follow().await;
-    world.platform.come_back(copy);
-    world.platform.leave("i-1");
-    world.follow().await;
-    assert_eq!(world.standing("i-1"), Some(Standing::Leaving));
+    fixture.read_changes().await;
+    fixture.platform.come_back(older_copy);
+    fixture.platform.leave("i-1");
+    fixture.read_changes().await;
+    assert_eq!(fixture.standing("i-1"), Some(Standing::Leaving));
 }
 
 #[tokio::test]
 async fn an_endpoint_that_the_older_copy_lacks_keeps_its_work_until_it_writes_again_or_is_gone() {
-    let mut world = World::new().await;
-    let copy = world.platform.revision();
-    register(&world.platform, "i-7");
-    register(&world.platform, "i-8");
-    world.follow().await;
-    world.platform.come_back(copy);
-    world.follow().await;
-    assert_eq!(world.standing("i-7"), Some(Standing::Missing));
-    register(&world.platform, "i-8");
-    world.follow().await;
-    assert_eq!(world.standing("i-8"), Some(Standing::Present));
-    world.pass(GONE);
-    assert_eq!((world.standing("i-7"), world.standing("i-8")), (None, Some(Standing::Present)));
+    let mut fixture = Fixture::new().await;
+    let older_copy = fixture.platform.revision();
+    register(&fixture.platform, "i-7");
+    register(&fixture.platform, "i-8");
+    fixture.read_changes().await;
+    fixture.platform.come_back(older_copy);
+    fixture.read_changes().await;
+    assert_eq!(fixture.standing("i-7"), Some(Standing::Missing));
+    register(&fixture.platform, "i-8");
+    fixture.read_changes().await;
+    assert_eq!(fixture.standing("i-8"), Some(Standing::Present));
+    fixture.advance(GONE);
+    assert_eq!((fixture.standing("i-7"), fixture.standing("i-8")), (None, Some(Standing::Present)));
 }
 
 #[tokio::test]
 async fn an_endpoint_that_left_gets_no_work_again_because_an_older_copy_names_it() {
-    for is_told in [true, false] {
-        let mut world = World::new().await;
-        let copy = world.platform.revision();
-        if is_told {
-            world.platform.leave("i-1");
+    for is_announced in [true, false] {
+        let mut fixture = Fixture::new().await;
+        let older_copy = fixture.platform.revision();
+        if is_announced {
+            fixture.platform.leave("i-1");
         }
-        world.platform.remove("i-1");
-        world.follow().await;
-        world.pass(GONE);
-        assert_eq!(world.standing("i-1"), None);
-        world.platform.come_back(copy);
-        world.follow().await;
-        assert_eq!(world.standing("i-1"), None, "announced: {is_told}");
+        fixture.platform.remove("i-1");
+        fixture.read_changes().await;
+        fixture.advance(GONE);
+        assert_eq!(fixture.standing("i-1"), None);
+        fixture.platform.come_back(older_copy);
+        fixture.read_changes().await;
+        assert_eq!(fixture.standing("i-1"), None, "announced: {is_announced}");
         // The entry expires in the restored store too.
-        world.platform.remove("i-1");
-        world.follow().await;
-        world.pass(GONE * 10);
-        assert_eq!(world.standing("i-1"), None, "announced: {is_told}");
+        fixture.platform.remove("i-1");
+        fixture.read_changes().await;
+        fixture.advance(GONE * 10);
+        assert_eq!(fixture.standing("i-1"), None, "announced: {is_announced}");
         // The endpoint may return by registering again.
-        register(&world.platform, "i-1");
-        world.follow().await;
-        assert_eq!(world.standing("i-1"), Some(Standing::Present));
+        register(&fixture.platform, "i-1");
+        fixture.read_changes().await;
+        assert_eq!(fixture.standing("i-1"), Some(Standing::Present));
     }
 }
 
@@ -170,75 +170,75 @@
 /// comes because nothing changes.
 #[tokio::test]
 async fn an_endpoint_that_an_older_copy_goes_on_naming_is_there_again() {
-    let mut world = World::new().await;
-    let copy = world.platform.revision();
-    world.platform.remove("i-1");
-    world.follow().await;
-    world.pass(GONE);
-    world.platform.come_back(copy);
-    world.follow().await;
-    world.pass(GONE * 10);
-    assert_eq!(world.standing("i-1"), Some(Standing::Present));
+    let mut fixture = Fixture::new().await;
+    let older_copy = fixture.platform.revision();
+    fixture.platform.remove("i-1");
+    fixture.read_changes().await;
+    fixture.advance(GONE);
+    fixture.platform.come_back(older_copy);
+    fixture.read_changes().await;
+    fixture.advance(GONE * 10);
+    assert_eq!(fixture.standing("i-1"), Some(Standing::Present));
 }
 
 #[tokio::test]
 async fn a_drain_that_the_older_copy_lacks_stays_a_drain() {
-    let mut world = World::new().await;
-    let copy = world.platform.revision();
-    world.platform.leave("i-1");
-    world.follow().await;
-    world.platform.come_back(copy);
-    world.follow().await;
-    assert_eq!(world.standing("i-1"), Some(Standing::Leaving));
+    let mut fixture = Fixture::new().await;
+    let older_copy = fixture.platform.revision();
+    fixture.platform.leave("i-1");
+    fixture.read_changes().await;
+    fixture.platform.come_back(older_copy);
+    fixture.read_changes().await;
+    assert_eq!(fixture.standing("i-1"), Some(Standing::Leaving));
 }
 
 /// The restored store has assigned enough revisions again to include the reader's own position.
 #[tokio::test]
 async fn a_return_is_noticed_even_where_the_revision_is_known_again() {
-    let mut world = World::new().await;
-    let copy = world.platform.revision();
-    register(&world.platform, "i-7");
-    world.follow().await;
-    world.platform.come_back(copy);
-    world.platform.leave("i-2");
-    register(&world.platform, "i-8");
-    register(&world.platform, "i-9");
-    world.follow().await;
-    world.pass(GONE);
-    let known = world.known().into_iter().map(|(id, _)| id).collect::<Vec<_>>();
+    let mut fixture = Fixture::new().await;
+    let older_copy = fixture.platform.revision();
+    register(&fixture.platform, "i-7");
+    fixture.read_changes().await;
+    fixture.platform.come_back(older_copy);
+    fixture.platform.leave("i-2");
+    register(&fixture.platform, "i-8");
+    register(&fixture.platform, "i-9");
+    fixture.read_changes().await;
+    fixture.advance(GONE);
+    let known = fixture.known().into_iter().map(|(id, _)| id).collect::<Vec<_>>();
     assert_eq!(known, ["i-1", "i-2", "i-3", "i-8", "i-9"]);
-    assert_eq!(world.standing("i-2"), Some(Standing::Leaving));
+    assert_eq!(fixture.standing("i-2"), Some(Standing::Leaving));
 }
 
 #[tokio::test]
 async fn a_configuration_stays_in_force_until_a_newer_one_is_written() {
-    let mut world = World::new().await;
-    let copy = world.platform.revision();
-    world.platform.publish(&documents());
-    world.follow().await;
-    assert_eq!(world.replica.facts().version, 2);
-    world.platform.come_back(copy);
-    world.follow().await;
-    assert_eq!(world.replica.facts().version, 2, "the older copy has version 1");
-    world.platform.publish(&documents());
-    world.follow().await;
-    assert_eq!(world.replica.facts().version, 3);
+    let mut fixture = Fixture::new().await;
+    let older_copy = fixture.platform.revision();
+    fixture.platform.publish(&documents());
+    fixture.read_changes().await;
+    assert_eq!(fixture.replica.facts().version, 2);
+    fixture.platform.come_back(older_copy);
+    fixture.read_changes().await;
+    assert_eq!(fixture.replica.facts().version, 2, "the older copy has version 1");
+    fixture.platform.publish(&documents());
+    fixture.read_changes().await;
+    assert_eq!(fixture.replica.facts().version, 3);
 }
 
 #[tokio::test]
 async fn a_return_during_a_return_is_one_more() {
-    let mut world = World::new().await;
-    let copy = world.platform.revision();
-    register(&world.platform, "i-7");
-    let later = world.platform.revision();
-    register(&world.platform, "i-8");
-    world.follow().await;
-    world.platform.come_back(later);
-    world.platform.come_back(copy);
-    world.platform.leave("i-3");
-    world.follow().await;
-    world.pass(GONE);
-    let known = world.known().into_iter().map(|(id, _)| id).collect::<Vec<_>>();
+    let mut fixture = Fixture::new().await;
+    let older_copy = fixture.platform.revision();
+    register(&fixture.platform, "i-7");
+    let later = fixture.platform.revision();
+    register(&fixture.platform, "i-8");
+    fixture.read_changes().await;
+    fixture.platform.come_back(later);
+    fixture.platform.come_back(older_copy);
+    fixture.platform.leave("i-3");
+    fixture.read_changes().await;
+    fixture.advance(GONE);
+    let known = fixture.known().into_iter().map(|(id, _)| id).collect::<Vec<_>>();
     assert_eq!(known, ["i-1", "i-2", "i-3"]);
-    assert_eq!(world.standing("i-3"), Some(Standing::Leaving));
+    assert_eq!(fixture.standing("i-3"), Some(Standing::Leaving));
 }
--- a/crates/dappleway/tests/operating.rs
+++ b/crates/dappleway/tests/operating.rs
@@ -11,7 +11,7 @@
 
 const BIN: &str = env!("CARGO_BIN_EXE_dappleway");
 /// Timeout for the start of a process on a loaded machine.
-const START: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn bed(nodes: usize) -> Bed {
     Bed::start(Path::new(BIN), &Layout { nodes, ..Layout::small() }).await.unwrap()
@@ -25,7 +25,7 @@
     let all = "level = \"debug\"\nlines_per_s = 1000000\nhealthy_requests_per_s = 1000000";
     node.edit_settings("level = \"info\"", all).unwrap();
     node.restart_unread().unwrap();
-    node.wait_ready(START).await.unwrap();
+    node.wait_ready(START_TIMEOUT).await.unwrap();
     let summary = caller::run(bed.lookups(800.0, 5.0)).await;
     assert_eq!(summary.answered, summary.sent, "{summary:?}");
     let left_out = bed.metric("dappleway_log_lines_left_out_total").await.unwrap();
@@ -90,8 +90,8 @@
     assert!(out.contains("is in force"), "{out}");
     let (code, out, _) = dappleway(node, &["completions", "bash"]).await;
     assert!(code == 0 && out.contains("dappleway"));
-    let nobody = &["fleet", "--node", "127.0.0.1:1"];
-    assert_eq!(dappleway(node, nobody).await.0, 1);
+    let unreachable = &["fleet", "--node", "127.0.0.1:1"];
+    assert_eq!(dappleway(node, unreachable).await.0, 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -148,7 +148,7 @@
     let setting = format!("[operator]\ntoken_file = \"{path}\"");
     node.edit_settings("[operator]", &setting).unwrap();
     node.restart().unwrap();
-    node.wait_ready(START).await.unwrap();
+    node.wait_ready(START_TIMEOUT).await.unwrap();
 
     for open in ["/v1/live", "/v1/ready", "/readyz", "/metrics"] {
         let got = client::get(node.addrs.operator, open).await.unwrap();
--- a/crates/dappleway/tests/promises.rs
+++ b/crates/dappleway/tests/promises.rs
@@ -17,18 +17,18 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 
 /// Length of a download that exceeds the part that is buffered before the caller gets the first bytes.
-const BYTES: usize = 3_000_000;
+const DOWNLOAD_BYTES: usize = 3_000_000;
 
 /// Limits the test beds that run at the same time. More would compete for the CPU and appear unhealthy.
-static PLACES: Semaphore = Semaphore::const_new(2);
+static BED_PERMITS: Semaphore = Semaphore::const_new(2);
 
-/// A test bed together with its permit of `PLACES`.
-struct PlacedBed {
+/// A test bed together with its permit of `BED_PERMITS`.
+struct LimitedBed {
     bed: Bed,
-    _place: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
-impl Deref for PlacedBed {
+impl Deref for LimitedBed {
     type Target = Bed;
 
     fn deref(&self) -> &Bed {
@@ -36,16 +36,16 @@
     }
 }
 
-impl DerefMut for PlacedBed {
+impl DerefMut for LimitedBed {
     fn deref_mut(&mut self) -> &mut Bed {
         &mut self.bed
     }
 }
 
-async fn bed(layout: &Layout) -> PlacedBed {
-    let place = PLACES.acquire().await.unwrap();
+async fn bed(layout: &Layout) -> LimitedBed {
+    let permit = BED_PERMITS.acquire().await.unwrap();
     let bed = Bed::start(Path::new(env!("CARGO_BIN_EXE_dappleway")), layout).await.unwrap();
-    PlacedBed { bed, _place: place }
+    LimitedBed { bed, _permit: permit }
 }
 
 async fn send(bed: &Bed, method: &str, path: &str, rate: f64, seconds: f64) -> Summary {
@@ -98,7 +98,7 @@
 /// A body that is too long to be buffered can be sent only once. If the endpoint refuses the request, its outcome is
 /// still known.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_request_that_every_endpoint_refused_is_told_to_have_not_run() {
+async fn a_long_request_that_every_endpoint_refused_is_reported_as_not_run() {
     let bed = bed(&Layout::small()).await;
     bed.upstreams.iter().for_each(|it| it.set_fault(Fault::Shed, 1.0, 1.0));
     for path in ["/bookings/1", "/bookings/2"] {
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn callers_get_whole_answers_to_their_own_requests_only() {
+async fn callers_get_complete_answers_to_their_own_requests_only() {
     let bed = bed(&Layout::small()).await;
     for fault in [Fault::Swap, Fault::CutBody, Fault::StallBody, Fault::LoseAnswer] {
         bed.upstreams.iter().for_each(|it| it.set_fault(fault, 0.3, 1.0));
@@ -124,18 +124,18 @@
     let bed = bed(&Layout::small()).await;
     for fault in [Fault::StallBody, Fault::CutBody] {
         bed.upstreams.iter().for_each(|it| it.set_fault(fault, 0.5, 1.0));
-        let mut whole = 0;
+        let mut completed = 0;
         for _ in 0..8 {
-            let path = format!("/archives/2026-11?bytes={BYTES}");
+            let path = format!("/archives/2026-11?bytes={DOWNLOAD_BYTES}");
             // If no endpoint can continue the download, the client sees an error and no truncated answer.
             let Ok(got) = client::get(bed.nodes[0].addrs.traffic, &path).await else { continue };
             if got.status.is_success() {
-                assert_eq!(got.body.len(), BYTES, "{fault:?}");
-                assert!(got.body == download_bytes(0, BYTES), "{fault:?}: other bytes");
-                whole += 1;
+                assert_eq!(got.body.len(), DOWNLOAD_BYTES, "{fault:?}");
+                assert!(got.body == download_bytes(0, DOWNLOAD_BYTES), "{fault:?}: other bytes");
+                completed += 1;
             }
         }
-        assert!(whole > 0, "{fault:?}: no download was continued");
+        assert!(completed > 0, "{fault:?}: no download was continued");
     }
     let resumes = bed.metric("dappleway_resumes_total").await.unwrap();
     assert!(resumes > 0.0);
@@ -146,17 +146,16 @@
     let profile = Profile { piece_us: 10_000, ..Layout::small().profile };
     let mut bed = bed(&Layout { profile, ..Layout::small() }).await;
     let target = bed.nodes[0].addrs.traffic;
-    let download =
-        tokio::spawn(
-            async move { client::get(target, &format!("/archives/x?bytes={BYTES}")).await },
-        );
+    let download = tokio::spawn(async move {
+        client::get(target, &format!("/archives/x?bytes={DOWNLOAD_BYTES}")).await
+    });
     // The stop begins while the download is in flight.
     while bed.nodes[0].metric("dappleway_requests_in_flight").await.unwrap() < 1.0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     bed.nodes[0].signal("TERM").unwrap();
     let got = download.await.unwrap().unwrap();
-    assert_eq!(got.body.len(), BYTES);
+    assert_eq!(got.body.len(), DOWNLOAD_BYTES);
     let code = loop {
         if let Some(code) = bed.nodes[0].exit_code().unwrap() {
             break code;
@@ -185,7 +184,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_is_given_up_is_told_so_with_when_to_come_back() {
+async fn a_request_that_is_given_up_is_answered_with_a_retry_time() {
     let profile = Profile { slots: 1, service_us: 400_000, ..Layout::small().profile };
     let layout = Layout { profile, endpoints: 1, nodes: 1, floor: "100%", ..Layout::small() };
     let bed = bed(&layout).await;
@@ -207,7 +206,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_node_blames_nobody_when_it_wakes() {
+async fn a_frozen_node_ejects_no_endpoint_when_it_resumes() {
     let bed = bed(&Layout::small()).await;
     send(&bed, "GET", "/slots/1", 300.0, 1.0).await;
     let load = tokio::spawn({
@@ -246,8 +245,8 @@
         cut_one_way(&bed, from_first).await;
         let summary = send(&bed, "GET", "/slots/1", 200.0, 1.5).await;
         assert_eq!(summary.answered, summary.sent, "{summary:?}");
-        let hand_ins = send(&bed, "POST", "/bookings/1", 100.0, 1.0).await;
-        check_at_most_once(&bed, &hand_ins, "one-way cut");
+        let bookings = send(&bed, "POST", "/bookings/1", 100.0, 1.0).await;
+        check_at_most_once(&bed, &bookings, "one-way cut");
         assert_eq!(bed.ejections().unwrap(), Vec::<String>::new());
         let second = bed.platform.publish(&bed.resources);
         for it in &bed.nodes {
@@ -285,8 +284,8 @@
     broken.push(broken[1].clone());
     let second = bed.platform.publish(&broken);
     bed.wait_in_force(second).await.unwrap();
-    let is_told = |it: &serde_json::Value| it["left_out"].to_string().contains("is taken");
-    bed.wait_reports(is_told).await.unwrap();
+    let is_reported = |it: &serde_json::Value| it["left_out"].to_string().contains("is taken");
+    bed.wait_reports(is_reported).await.unwrap();
     let summary = send(&bed, "GET", "/slots/1", 100.0, 0.5).await;
     assert_eq!(summary.answered, summary.sent);
     let third = bed.platform.publish(&bed.resources);
@@ -313,16 +312,16 @@
     let bed = bed(&Layout { nodes: 2, ..Layout::small() }).await;
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(dir.path().join("fleet.key"), "another secret altogether").unwrap();
-    let stranger = standin::lab::node_addrs(1, &["a"]).unwrap().remove(0);
+    let foreign_addrs = standin::lab::node_addrs(1, &["a"]).unwrap().remove(0);
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_dappleway")), bed.platform_addr());
     options.seeds = bed.nodes.iter().map(|it| it.addrs.fleet).collect();
-    let node = Node::start(dir.path(), &stranger, &options).unwrap();
+    let node = Node::start(dir.path(), &foreign_addrs, &options).unwrap();
     // The node reads the platform itself, so it can serve. The other nodes drop all its frames.
     node.wait_ready(Duration::from_secs(30)).await.unwrap();
     bed.wait_reports(|it| it["frames_dropped"].as_u64().is_some_and(|n| n > 0)).await.unwrap();
     let report = bed.nodes[0].report().await.unwrap();
     let members = report["members"].as_array().unwrap();
-    assert!(members.iter().all(|it| it["node"] != stranger.fleet.to_string()));
+    assert!(members.iter().all(|it| it["node"] != foreign_addrs.fleet.to_string()));
     assert_eq!(node.report().await.unwrap()["members"].as_array().unwrap().len(), 0);
 }
 
