--- a/crates/dappleway/src/control/crash_reports.rs
+++ b/crates/dappleway/src/control/crash_reports.rs
@@ -33,11 +33,11 @@
         let services: Vec<u64> = open.request.route.shares().map(|(it, _)| name_hash(it)).collect();
         for service in services {
             let directory = ServingNodes::new(now, self.me, &self.topology, &self.exchange);
-            let next = directory.candidates(service).into_iter().take(NOTIFIED_SUCCESSORS + 1);
-            let next: Vec<NodeId> = next.filter(|it| *it != self.me.node).collect();
+            let nodes = directory.candidates(service).into_iter().take(NOTIFIED_SUCCESSORS + 1);
+            let nodes: Vec<NodeId> = nodes.filter(|it| *it != self.me.node).collect();
             // The dispatcher that granted the slot learns the outcome when the slot is released.
             let granted_by = (service == open.service).then_some(open.place);
-            for node in next.into_iter().filter(|it| granted_by != Some(Place::Peer(*it))) {
+            for node in nodes.into_iter().filter(|it| granted_by != Some(Place::Peer(*it))) {
                 let message = PermitMessage::Ran { service, request, end, elapsed };
                 self.send_permit_message(now, node, message);
             }
--- a/crates/dappleway/src/control/dispatch_log.rs
+++ b/crates/dappleway/src/control/dispatch_log.rs
@@ -85,13 +85,13 @@
 
     /// Logs the acknowledgement times since the last call if one of them was slow.
     pub(super) fn log_slow_acks(&mut self) {
-        let mut took = std::mem::take(&mut self.ack_times);
-        took.sort_unstable();
-        let Some(longest) = took.last().filter(|it| **it > SLOW_ACK) else { return };
+        let mut times = std::mem::take(&mut self.ack_times);
+        times.sort_unstable();
+        let Some(longest) = times.last().filter(|it| **it > SLOW_ACK) else { return };
         let ms = |it: &Duration| it.as_secs_f64() * 1e3;
-        info!(self.log, "messages to peers slow"; "messages" => took.len(),
-            "slow" => took.iter().filter(|it| **it > SLOW_ACK).count(),
-            "middle_ms" => ms(&took[took.len() / 2]), "longest_ms" => ms(longest));
+        info!(self.log, "messages to peers slow"; "messages" => times.len(),
+            "slow" => times.iter().filter(|it| **it > SLOW_ACK).count(),
+            "middle_ms" => ms(&times[times.len() / 2]), "longest_ms" => ms(longest));
     }
 
     /// Logs a notice from an endpoint.
--- a/crates/dappleway/src/control/exchange.rs
+++ b/crates/dappleway/src/control/exchange.rs
@@ -14,13 +14,19 @@
 impl Control {
     pub(super) fn receive_frames(&mut self, now: Time) {
         for _ in 0..MAX_BATCH {
-            let Some((from, frame, n)) = self.transport.receive() else { return };
-            self.receive_frame(now, from, frame, n);
+            let Some((from, frame, bytes)) = self.transport.receive() else { return };
+            self.receive_frame(now, from, frame, bytes);
             self.deliver_replies(now);
         }
     }
 
-    pub(super) fn receive_frame(&mut self, now: Time, from: SocketAddr, frame: Frame, n: usize) {
+    pub(super) fn receive_frame(
+        &mut self,
+        now: Time,
+        from: SocketAddr,
+        frame: Frame,
+        bytes: usize,
+    ) {
         match frame.message {
             Message::Permit(message) => {
                 self.handle_permit_message(now, (frame.from, from), message);
@@ -41,7 +47,7 @@
                 self.handle_allowance_message(now, frame.from, message);
                 return;
             }
-            Message::Gossip(_) => self.exchange.spend(n),
+            Message::Gossip(_) => self.exchange.spend(bytes),
             Message::News(_) => {}
         }
         let effects = self.exchange.receive(now, from, frame, &mut self.rng);
@@ -53,9 +59,9 @@
             match effect {
                 Effect::Send(to, message) => {
                     let is_round = matches!(message, Message::Gossip(_));
-                    let n = self.transport.send(to, &self.exchange.frame(message));
+                    let bytes = self.transport.send(to, &self.exchange.frame(message));
                     if is_round {
-                        self.exchange.spend(n);
+                        self.exchange.spend(bytes);
                     }
                 }
                 Effect::Fetch(addr) => {
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -70,7 +70,7 @@
             brings_part: true,
             avoid: want.avoid.clone(),
             closed: state.direct.closed(now, self.me.node),
-            places: self.domain_filter(want),
+            places: self.places_of(want),
             limits: state.direct.heard_limits(now),
             left: want.left,
             is_last: want.is_last,
@@ -90,7 +90,7 @@
     }
 
     /// Restrictions on the failure domains that a request may be sent to.
-    fn domain_filter(&self, want: &Want) -> Option<Box<Places>> {
+    fn places_of(&self, want: &Want) -> Option<Box<Places>> {
         let only = want.regions.as_ref().map(|it| self.topology.domains_in(it));
         Places { evacuated: self.evacuated.clone(), only }.boxed()
     }
@@ -326,13 +326,14 @@
             return;
         }
         let directory = ServingNodes::new(now, self.me, &self.topology, &self.exchange);
-        let next = directory.candidates(open.service).into_iter().take(NOTIFIED_SUCCESSORS + 1);
-        let knows = |it: &NodeId| open.place == Place::Peer(*it) || *it == self.me.node;
-        let next: Vec<NodeId> = next.filter(|it| !knows(it)).collect();
+        let successors =
+            directory.candidates(open.service).into_iter().take(NOTIFIED_SUCCESSORS + 1);
+        let is_informed = |it: &NodeId| open.place == Place::Peer(*it) || *it == self.me.node;
+        let successors: Vec<NodeId> = successors.filter(|it| !is_informed(it)).collect();
         let observation =
             Observation { reporter: self.me, endpoint: 0, route: open.route(), kind, elapsed };
         let (service, endpoint) = (open.service, &open.endpoint);
-        for node in next {
+        for node in successors {
             let endpoint = endpoint.clone();
             self.send_permit_message(
                 now,
--- a/crates/dappleway/src/control/peer_slots.rs
+++ b/crates/dappleway/src/control/peer_slots.rs
@@ -20,8 +20,8 @@
             PermitMessage::Ask { service, ask } => {
                 self.asker_addrs.insert(from.0, from.1);
                 let id = ask.id;
-                let is_own = id.node == from.0 && ask.reporter.node == from.0;
-                let reply = match is_own && !self.draining {
+                let is_from_sender = id.node == from.0 && ask.reporter.node == from.0;
+                let reply = match is_from_sender && !self.draining {
                     true => self.answer_ask(now, service, ask),
                     false => Reply::Full,
                 };
--- a/crates/dappleway/src/reader.rs
+++ b/crates/dappleway/src/reader.rs
@@ -190,7 +190,7 @@
         let (failed, _) = self.outage.get_or_insert_with(|| (0, Instant::now()));
         *failed += 1;
         if *failed == 1 {
-            warn!(self.log, "platform lost: serving with the last known_position state"; "reason" => reason,
+            warn!(self.log, "platform lost: serving with the last known state"; "reason" => reason,
                 "reading_from" => ?self.from);
         }
         send(&self.events, Event::ReadFailed);
@@ -216,11 +216,11 @@
     log: Logger,
 ) {
     let since = Instant::now();
-    let took = || since.elapsed().as_millis() as u64;
+    let elapsed_ms = || since.elapsed().as_millis() as u64;
     let fetched = match fleet::fetch(addr, &keys, asker).await {
         Ok(it) => it,
         Err(error) => {
-            info!(log, "fetch from a peer failed"; "peer" => %addr, "ms" => took(),
+            info!(log, "fetch from a peer failed"; "peer" => %addr, "ms" => elapsed_ms(),
                 "reason" => %error);
             let why = match error {
                 FetchError::Busy => FetchFailure::Busy,
@@ -230,7 +230,7 @@
         }
     };
     let Fetched { bundle, bytes } = fetched;
-    info!(log, "fetched from a peer"; "peer" => %addr, "ms" => took(), "bytes" => bytes,
+    info!(log, "fetched from a peer"; "peer" => %addr, "ms" => elapsed_ms(), "bytes" => bytes,
         "has_config" => bundle.document.is_some(), "has_registry" => bundle.registry.is_some());
     let members = bundle.members.clone();
     match bundle.decode() {
