--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -45,7 +45,7 @@
 use crate::services::{Scope, Services, name_hash, route_hash};
 use crate::settings::Mode;
 
-/// Tick interval while requests of this node wait for slots or allowances.
+/// Tick interval while asks of this node for slots or allowances are pending, and while it discovers the fleet.
 const BUSY_TICK: Duration = Duration::from_millis(10);
 /// Tick interval otherwise.
 const IDLE_TICK: Duration = Duration::from_millis(100);
--- a/crates/dappleway/tests/notices.rs
+++ b/crates/dappleway/tests/notices.rs
@@ -10,7 +10,7 @@
 /// Time after which a leaving endpoint gets no new requests.
 const PROPAGATION_TIME: Duration = Duration::from_secs(2);
 const BACKOFF: Duration = Duration::from_secs(3);
-/// Requests that were already sent may arrive at an endpoint within this time after it asked for a back-off.
+/// Time after the request for a back-off in which requests that are in flight may still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 /// Maximum number of further requests during the back-off.
 const MAX_DURING_BACKOFF: usize = 2;
