--- a/crates/policy/src/belief.rs
+++ b/crates/policy/src/belief.rs
@@ -1,50 +1,54 @@
-//! How likely an endpoint is sick, by the outcomes of the last seconds.
+//! The probability that an endpoint is unhealthy, estimated from the outcomes of the last seconds.
 //!
-//! An endpoint is taken for a hidden Markov chain of two states. Each outcome moves the probability
-//! that it is sick by Bayes' rule; time moves it back to the share of sick endpoints that the service
-//! has learned (`signs`). A few answers undo a stray failure, and one that failed twice is left alone
-//! for seconds. Nothing is taken out by it: a doubtful endpoint is only used after better ones, so no
-//! capacity is lost.
+//! Each endpoint is modelled as a hidden Markov chain with two states, healthy and unhealthy. An
+//! outcome updates the probability by Bayes' rule; between outcomes the probability decays towards
+//! the share of unhealthy endpoints learned for the service (`likelihoods`). A few answers outweigh
+//! an isolated failure, and an endpoint that failed twice is avoided for seconds. The belief never
+//! ejects an endpoint: a doubtful endpoint is only ranked behind better ones, so no capacity is
+//! lost.
 
 use std::time::Duration;
 
 use crate::observation::{Kind, Reporter};
 use crate::time::Time;
 
-/// Time constant with which old evidence loses its weight, in seconds: gray episodes last seconds, and
-/// one that is taken for shorter or longer than it is costs little, since trials find out.
+/// Time constant with which evidence decays, in seconds. Gray failures last seconds; a wrong
+/// estimate of their length costs little because trial requests correct the belief.
 const EVIDENCE_LASTS: f64 = 6.5;
-/// Probability for an endpoint of which nothing is known.
+/// Probability for an endpoint without any evidence.
 const UNKNOWN: f64 = 0.1;
-/// A request without an answer counts as a failure if that speaks this much more for sickness.
+/// Likelihood ratio (unhealthy against healthy) above which an unanswered request counts as a
+/// failure.
 pub(crate) const SILENCE_FAILS: f64 = 4.0;
-/// Bounds that keep the probability movable.
+/// Bounds of the probability. At 0 or 1 no further evidence could change it.
 const BOUNDS: (f64, f64) = (0.002, 0.985);
-/// Below this an endpoint is used like any other.
+/// Below this probability an endpoint is used without restriction.
 const FREELY_BELOW: f64 = 0.12;
-/// Below this it takes one request at a time. After one failure a busy endpoint stands a little above
-/// it, and comes below after two seconds.
+/// Below this probability an endpoint takes one request at a time. One failure puts a busy endpoint
+/// slightly above this bound; the probability decays below it within two seconds.
 const SINGLY_BELOW: f64 = 0.34;
-/// Below this it takes one request at a time, preferably one that may be repeated.
+/// Below this probability an endpoint takes one request at a time, preferably a repeatable one.
 const CAUTIOUSLY_BELOW: f64 = 0.5;
-/// The users count an endpoint as well two seconds after its last failure, and want work at most of
-/// the well ones in any two seconds: one that is left alone for longer may count as idle. They look at
-/// those without trouble only, so that a share of all endpoints proves nothing.
+/// After a failure, the longest time without work before the endpoint may count as idle in the
+/// availability target. The target counts an endpoint as healthy two seconds after its last failure
+/// and expects work at most of the healthy endpoints in any two seconds. Only endpoints without
+/// failures are counted, so using a given share of all endpoints does not meet the target.
 pub(crate) const IDLE_AFTER: Duration = Duration::from_millis(3_600);
-/// In calm an endpoint without work for this long counts as left alone: the users look at two seconds, and the next request
-/// must come and travel.
+/// In steady state an endpoint without work for this long is due for a request. The availability
+/// target uses windows of two seconds, within which the next request has to arrive and reach the
+/// endpoint.
 pub(crate) const ALONE_AFTER: Duration = Duration::from_millis(1_750);
-/// While a part of the requests is not served, an endpoint is given work after this long without: it may have to wait for
-/// a slot.
+/// While some requests are not served, an endpoint is due after this long without work. This is
+/// shorter than `ALONE_AFTER` because the request may have to wait for a slot.
 pub(crate) const MISSED_AFTER: Duration = Duration::from_millis(1_500);
-/// While a part of the requests is not served, an endpoint is tried again this long after its last
-/// failure.
+/// While some requests are not served, an endpoint is tried again this long after its last failure.
 pub(crate) const TRY_AGAIN: Duration = Duration::from_millis(1_900);
-/// Nodes that fail to reach an endpoint one after the other, without an answer to any node in
-/// between, before it is not taken for a fault of their paths.
+/// Number of nodes that must fail to reach an endpoint in succession, with no answer to any node in
+/// between, before the endpoint counts as failed. Fewer may only show a fault of their network
+/// paths.
 const UNREACHED_BY: u32 = 3;
 
-/// What is believed of one endpoint.
+/// The estimated health of one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Belief {
     sick: f64,
@@ -59,20 +63,21 @@
     }
 }
 
-/// Whether the service goes without endpoints that it may need.
+/// How much of a service's work is not served, which decides how soon idle and failed endpoints are
+/// used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Strain {
     /// Nearly all requests are served.
     None,
-    /// More than usual is not served, or the part that is not grows: nobody is left alone for longer than the floor
-    /// allows in any case.
+    /// More requests than usual are not served, or their share is rising: no endpoint stays idle
+    /// for longer than the availability target permits in any case.
     Growing,
-    /// A part of the requests is not served: endpoints are tried again sooner.
+    /// Some requests are not served: endpoints are tried again sooner.
     Unserved,
 }
 
 impl Strain {
-    /// Short name for logs.
+    /// Name used in logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -81,7 +86,7 @@
         }
     }
 
-    /// How long an endpoint is left without work while nobody rests.
+    /// How long an endpoint may be without work when none is deliberately kept idle.
     pub(crate) fn idle_for(self) -> Duration {
         match self {
             Self::None | Self::Growing => ALONE_AFTER,
@@ -89,7 +94,7 @@
         }
     }
 
-    /// How long an endpoint is left alone after a failure at most.
+    /// The longest time for which an endpoint gets no work after a failure.
     pub(crate) fn alone_for(self) -> Duration {
         match self {
             Self::None | Self::Growing => IDLE_AFTER,
@@ -101,18 +106,18 @@
 /// How an endpoint is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Use {
-    /// Like any other.
+    /// Without restriction.
     Freely,
-    /// For one request at a time, which may be any.
+    /// One request at a time, of any kind.
     Singly,
-    /// For one request at a time, preferably one that may repeat.
+    /// One request at a time, preferably a repeatable one.
     Cautiously,
     /// Only when no other endpoint is free.
     Last,
 }
 
 impl Use {
-    /// Short name for reports.
+    /// Name used in reports.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Freely => "freely",
@@ -124,8 +129,8 @@
 }
 
 impl Belief {
-    /// Takes in one outcome of a request that took `elapsed`, which is `ratio` times as likely at a
-    /// sick endpoint. Time alone leads to the probability `rest`.
+    /// Applies the outcome of a request that took `elapsed`. `ratio` is the likelihood ratio of the
+    /// outcome (unhealthy against healthy), and `prior` the probability that the belief decays to.
     pub(crate) fn observe(
         &mut self,
         now: Time,
@@ -138,8 +143,8 @@
         match kind {
             Kind::Answered => {
                 self.unreached_by = None;
-                // Sick endpoints fail as soon as the work begins: an answer speaks of that time, and
-                // says nothing if a failure came later.
+                // Unhealthy endpoints fail at the start of the work, so an answer is evidence for
+                // the time at which its request began, and is no evidence if a failure followed.
                 let began = now - elapsed;
                 if self.failed_at.is_none_or(|it| began > it) {
                     self.weigh(began.max(self.at), ratio, rest);
@@ -154,14 +159,14 @@
         }
     }
 
-    /// The probability that the endpoint is sick, given how much more likely what is open on it is if
-    /// it is.
+    /// The probability that the endpoint is unhealthy, updated by `ratio`, the likelihood ratio of
+    /// its open requests.
     pub(crate) fn sick_given(&self, now: Time, ratio: f64, rest: f64) -> f64 {
         let sick = self.sick(now, rest);
         sick * ratio / (sick * ratio + 1.0 - sick)
     }
 
-    /// The probability that the endpoint is sick.
+    /// The probability that the endpoint is unhealthy.
     pub(crate) fn sick(&self, now: Time, rest: f64) -> f64 {
         let kept = (-now.seconds_since(self.at) / EVIDENCE_LASTS).exp();
         rest + (self.sick - rest) * kept
@@ -172,12 +177,12 @@
         now.since(self.at)
     }
 
-    /// Whether an outcome was heard of lately.
+    /// Whether the latest outcome is recent enough to count as evidence.
     pub(crate) fn is_recent(&self, now: Time) -> bool {
         self.evidence_age(now).as_secs_f64() < EVIDENCE_LASTS
     }
 
-    /// Time since its last failure.
+    /// Time since the last failure of the endpoint, or `None` if it never failed.
     pub(crate) fn since_failure(&self, now: Time) -> Option<Duration> {
         self.failed_at.map(|it| now.since(it))
     }
@@ -187,7 +192,7 @@
         self.usage_if(self.sick(now, rest), now, strain)
     }
 
-    /// The same where it is known how likely the endpoint is sick now.
+    /// Like [`Self::usage`], for a probability that the caller has already computed.
     pub(crate) fn usage_if(&self, sick: f64, now: Time, strain: Strain) -> Use {
         match sick {
             it if it < FREELY_BELOW => Use::Freely,
@@ -198,18 +203,19 @@
         }
     }
 
-    /// Whether the last failure is longer ago than `age`.
+    /// Whether the last failure, if any, is longer ago than `age`.
     pub(crate) fn failed_before(&self, now: Time, age: Duration) -> bool {
         self.failed_at.is_none_or(|it| now.since(it) > age)
     }
 
-    /// It failed at `at`, as is known now.
+    /// Records a failure that happened at `at` and became known at `now`.
     fn fail(&mut self, now: Time, at: Time, ratio: f64, rest: f64) {
         self.weigh(now, ratio, rest);
         self.failed_at = self.failed_at.max(Some(at));
     }
 
-    /// No answer came for `elapsed`. What failed is the send: a time limit that passes says nothing of the time since.
+    /// Applies an unanswered request that was open for `elapsed`. The failure is dated at the send:
+    /// a timeout is no evidence for the time after the send.
     fn wait_in_vain(&mut self, now: Time, elapsed: Duration, ratio: f64, rest: f64) {
         match ratio > SILENCE_FAILS {
             true => self.fail(now, now - elapsed, ratio, rest),
@@ -217,7 +223,7 @@
         }
     }
 
-    /// Moves the odds by a likelihood ratio, sick against well.
+    /// Multiplies the odds by a likelihood ratio (unhealthy against healthy).
     fn weigh(&mut self, now: Time, ratio: f64, rest: f64) {
         let sick = self.sick(now, rest);
         let odds = sick / (1.0 - sick) * ratio;
@@ -225,7 +231,8 @@
         self.at = now;
     }
 
-    /// Whether several nodes in a row could not reach the endpoint, this one the last.
+    /// Whether [`UNREACHED_BY`] nodes in a row could not reach the endpoint, `reporter` being the
+    /// latest.
     fn is_unreachable(&mut self, reporter: Reporter) -> bool {
         let (last, count) = self.unreached_by.unwrap_or((reporter, 0));
         let is_another = count == 0 || last.node != reporter.node;
