--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -1,4 +1,4 @@
-//! What is said about slots: who asks for one, and what the answer is.
+//! Requests for slots and the replies to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,30 +11,32 @@
 use crate::rendezvous::NodeId;
 use crate::suspects::RequestKey;
 
-/// Identity of a permit, chosen by the node that asks; asking twice is harmless.
+/// Identity of a permit, chosen by the requesting node. Asking again with the same identity has no
+/// further effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PermitId {
-    /// The node that asks.
+    /// The requesting node.
     pub node: NodeId,
-    /// Unique within the life of that node's process.
+    /// Unique among all permits of one run of that node's process.
     pub seq: u64,
 }
 
 /// Which send of a request a slot is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SendKind {
-    /// The first one, asked for for the first time. The budget for repeats grows with these alone.
+    /// The first send, asked for for the first time. Only these sends add to the repeat budget.
     First,
-    /// The first one, asked for again: the ask before it brought nothing, or the send reached nobody. It
-    /// neither earns a part of the budget nor costs any. Counted as a first one, sends that reach
-    /// nobody would let through more repeats than are allowed.
+    /// The first send, asked for again because the earlier ask got no slot or the send did not
+    /// reach an endpoint. This send neither adds to the repeat budget nor draws on it. Counted as
+    /// [`Self::First`], sends that reach no endpoint would allow more repeats than the budget's
+    /// limit.
     FirstAgain,
-    /// An endpoint was reached before for the same request: it costs a part of the budget.
+    /// A send after one that reached an endpoint. Draws on the repeat budget.
     Further,
 }
 
 impl SendKind {
-    /// The same send, asked for once more.
+    /// The kind to use when the same send is asked for again.
     pub fn again(self) -> Self {
         match self {
             Self::First | Self::FirstAgain => Self::FirstAgain,
@@ -46,63 +48,67 @@
 /// A request for a slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Identity of the permit asked for.
+    /// Identity of the requested permit.
     pub id: PermitId,
-    /// Who asks.
+    /// The node that asks.
     pub reporter: Reporter,
     /// Hash of the route's name.
     pub route: u32,
-    /// What makes the request the same as another one.
+    /// Identifies identical requests.
     pub request: RequestKey,
-    /// Whether the request may run twice; only such requests go to an endpoint on trial.
+    /// Whether the request may run twice. Only such requests go to an endpoint on trial.
     pub repeatable: bool,
-    /// Which work goes first.
+    /// Priority of the request.
     pub priority: Priority,
     /// Hash of the caller's organisation.
     pub organisation: u64,
     /// Weight of the organisation.
     pub weight: u32,
-    /// Whether the answer is long, so that the own failure domain goes first.
+    /// Whether the answer is long. Such requests prefer endpoints in the failure domain of the
+    /// asker.
     pub bulky: bool,
-    /// Which send of the request it is for.
+    /// Which send of the request the slot is for.
     pub send: SendKind,
-    /// Whether the asker's part of the fixed budget for repeats is spent where it asks. An asker gives its part to
-    /// one dispatcher at a time.
+    /// Whether the asker assigns its share of the fixed part of the repeat budget to this
+    /// dispatcher. An asker assigns its share to one dispatcher at a time.
     pub brings_part: bool,
-    /// Endpoints that the asker cannot reach or has tried already; used last.
+    /// Endpoints that the asker cannot reach or has already tried. They are used last.
     pub avoid: Vec<SocketAddr>,
-    /// Endpoints that have told the asker that they want nothing from it; never used.
+    /// Endpoints that asked this node to back off or announced that they are leaving. They are
+    /// never used.
     pub closed: Vec<SocketAddr>,
-    /// Where it may go, if that is restricted.
+    /// The failure domains that the request may use, if restricted.
     pub places: Option<Box<Places>>,
-    /// Rate limits that the asker has heard of. Whoever hands out slots from now on knows what the asker was told.
+    /// Rate limits that the asker has observed. They inform a dispatcher that takes over of the
+    /// limits already in effect.
     pub limits: Vec<HeardLimit>,
     /// Time left until the request's deadline.
     pub left: Duration,
     /// Whether the route's rules allow no further send after this one.
     pub is_last: bool,
-    /// Time within which an answer is worth most to the caller.
+    /// The route's objective: answers that take longer are of less use to the caller.
     pub objective: Duration,
-    /// Whether to wait for a slot, or else to take a suspect endpoint. Without it, as for a hedge,
-    /// the answer is `Full` unless a good endpoint is free.
+    /// Whether to wait for a slot, or else to accept a suspect endpoint. If not set, as for a
+    /// hedge, the reply is `Full` unless a good endpoint is free.
     pub wait: bool,
 }
 
-/// Failure domains to which a request may go, by the hashes of their names.
+/// Restriction of a request to some failure domains, given as hashes of their names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Places {
-    /// The asker knows that these are evacuated.
+    /// Failure domains that the asker knows to be evacuated.
     pub evacuated: Vec<u64>,
-    /// It may go to these alone, if there is such a list.
+    /// The only failure domains that may be used; `None` allows all.
     pub only: Option<Vec<u64>>,
 }
 
 impl Places {
-    /// Nothing if they restrict nothing.
+    /// Returns `None` if there is no restriction.
     pub fn boxed(self) -> Option<Box<Self>> {
         (self != Self::default()).then(|| Box::new(self))
     }
 
+    /// Whether a failure domain is excluded.
     fn bars(&self, failure_domain: u64) -> bool {
         let is_elsewhere = self.only.as_ref().is_some_and(|it| !it.contains(&failure_domain));
         is_elsewhere || self.evacuated.contains(&failure_domain)
@@ -110,14 +116,14 @@
 }
 
 impl Ask {
-    /// Whether no endpoint of a failure domain may be used.
+    /// Whether the request must not use endpoints of this failure domain.
     pub(crate) fn bars(&self, failure_domain: u64) -> bool {
         self.places.as_ref().is_some_and(|it| it.bars(failure_domain))
     }
 
-    /// Closed endpoints in one ask at most, so that it fits its frame.
+    /// Maximum number of closed endpoints in one ask, so that the ask fits into its frame.
     pub const MAX_CLOSED: usize = 12;
-    /// Rate limits in one ask at most, for the same reason.
+    /// Maximum number of rate limits in one ask, so that the ask fits into its frame.
     pub const MAX_LIMITS: usize = 8;
 }
 
@@ -126,88 +132,92 @@
 pub struct Grant {
     /// Identity of the endpoint.
     pub endpoint: Name,
-    /// When its life began, in Unix milliseconds; 0 where nobody says.
+    /// Start of the endpoint's incarnation, in Unix milliseconds; 0 if unknown.
     pub started_ms: u64,
-    /// Its address.
+    /// Address of the endpoint.
     pub addr: SocketAddr,
-    /// Report the request as stalled when it is open for longer than this.
+    /// Report the request as stalled when it has been open for longer than this.
     pub stall_after: Duration,
-    /// Send a second one beside it, where the route allows that, when it is open for longer than this.
+    /// Send a hedge, if the route allows it, when the request has been open for longer than this.
     pub hedge_after: Duration,
-    /// Whether the endpoint is on trial: hedge early so that the caller does not pay.
+    /// Whether the endpoint is on trial. The request is then hedged early, so that a failed trial
+    /// does not delay the caller.
     pub trial: bool,
-    /// How good a choice the endpoint was.
+    /// Rank of the endpoint among the candidates.
     pub tier: Tier,
-    /// What was believed of it.
+    /// The estimated health of the endpoint.
     pub doubt: Doubt,
-    /// Whether an endpoint has ended under the request before: its answer is then of interest.
+    /// Whether an endpoint has crashed under this request before, so that the requester has to
+    /// report how the request ended.
     pub is_watched: bool,
-    /// Whether the endpoint is taken for one under a rate limit: an answer that names none lifts it.
+    /// Whether the endpoint is believed to be rate limited. An answer without a rate limit then
+    /// lifts the limit.
     pub is_rate_limited: bool,
 }
 
-/// What was believed of an endpoint when one of its slots was granted.
+/// The estimated health of an endpoint when one of its slots was granted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Doubt {
-    /// Probability that it is sick, in thousandths.
+    /// Probability that the endpoint is unhealthy, in thousandths.
     pub sick_permille: u16,
-    /// Age of the latest outcome that this rests on, in milliseconds.
+    /// Age of the latest outcome behind this estimate, in milliseconds.
     pub evidence_ms: u32,
 }
 
-/// Answer to an `Ask`.
+/// Reply to an `Ask`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// Send the request now.
     Granted(Grant),
-    /// A later reply follows.
+    /// The request waits; another reply follows.
     Queued,
     /// No good endpoint is free here.
     Full,
     /// Give up now.
     Refused {
-        /// When to come back.
+        /// When the caller may try again.
         retry_after: Duration,
     },
-    /// Give up now: endpoints end under the request.
+    /// Give up now: endpoints crash under this request.
     Rejected {
-        /// For how much longer nobody sends it.
+        /// For how much longer the request is rejected.
         retry_after: Duration,
     },
 }
 
-/// A reply to an earlier ask.
+/// The reply to an ask that was queued.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settled {
-    /// The permit asked for.
+    /// Identity of the requested permit.
     pub id: PermitId,
-    /// The answer.
+    /// The reply.
     pub reply: Reply,
 }
 
-/// Order of preference among free endpoints. An endpoint on trial comes first: the request is
-/// hedged, and without work the trial would never end.
+/// Rank of a free endpoint; lower variants are preferred. An endpoint on trial comes first because
+/// its request is hedged, and because a trial without work never ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Tier {
-    /// It is on trial.
+    /// The endpoint is on trial.
     Trial,
-    /// Nothing speaks against it.
+    /// The endpoint has no recent failures.
     Good,
-    /// Nothing proves yet that it is well again.
+    /// The endpoint has not yet confirmed its recovery with an answer.
     Cautious,
-    /// Something went wrong there a moment ago, but it is near, and the long answer can still be asked
-    /// for elsewhere.
+    /// A recent failure, but in the failure domain of the asker, for a long answer that another
+    /// endpoint can still be asked for.
     Near,
-    /// In another failure domain, for a long answer, whose bytes are what the way there costs.
+    /// In another failure domain, for a long answer: its bytes make the traffic between failure
+    /// domains expensive.
     Far,
-    /// Something went wrong there a moment ago.
+    /// A recent failure.
     Last,
-    /// The asker has tried it already or cannot reach it.
+    /// The asker has already tried the endpoint or cannot reach it.
     Avoided,
 }
 
 impl Tier {
-    /// Short name for logs.
+    /// Name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Trial => "trial",
