--- a/crates/policy/src/rotation.rs
+++ b/crates/policy/src/rotation.rs
@@ -1,8 +1,9 @@
-//! Which endpoints of a service take work, and the floor that ejections never go below.
+//! Which endpoints of a service are in rotation, and the floor below which ejections never reduce
+//! them.
 //!
-//! The floor is split over the failure domains by the configuration alone, and each domain keeps
-//! its own part. Judges that see different worlds therefore cannot add up to more ejections than
-//! the service can bear, without any agreement between them (escrow: O'Neil, 1986).
+//! The floor is split over the failure domains by the configuration alone, and each failure domain
+//! keeps its own share. Nodes with different views therefore never eject more endpoints together
+//! than the floor permits, without coordination (escrow: O'Neil, 1986).
 
 mod floor;
 
@@ -18,29 +19,30 @@
 pub(crate) use floor::SETTLE;
 pub use floor::domain_floors;
 
-/// Good work of this age still proves that an endpoint is healthy.
+/// A good answer counts as evidence of health for this long.
 const PROOF_LIFETIME: Duration = Duration::from_secs(10);
-/// Time out of rotation. With the patience of a trial it stays below the four seconds after which the
-/// users count an endpoint that failed by itself as idle; a longer time for one that flaps, doubled up to
-/// 8 s, left some idle for 5 s.
+/// Time that an ejected endpoint spends out of rotation. Together with `TRIAL_PATIENCE` it stays
+/// below the four seconds after which the availability target counts a recovered endpoint as idle.
+/// A time that doubled up to 8 s for flapping endpoints left some idle for 5 s.
 const TIME_OUT: Duration = Duration::from_secs(2);
 /// Good answers on trial before an endpoint is readmitted.
 const TRIAL_GOOD: u32 = 2;
-/// A trial that finds no repeatable work for this long takes other work too. Services that only
-/// take work that must not repeat would otherwise lose the endpoint for good.
+/// An endpoint on trial takes only repeatable requests for this long, then others too. Otherwise a
+/// service without repeatable requests would never readmit the endpoint.
 const TRIAL_PATIENCE: Duration = Duration::from_secs(1);
-/// Time over which a cold or readmitted endpoint gets back to all of its slots.
+/// Time over which a cold or readmitted endpoint regains all of its slots.
 const RAMP: Duration = Duration::from_secs(2);
-/// Where an endpoint stands.
+/// The state of an endpoint in the rotation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum State {
-    /// Nothing was heard of it yet; it takes work.
+    /// No outcome is known yet. Takes work.
     Unknown,
     /// Takes work.
     Healthy,
-    /// Judged sick but kept by the floor: takes work last.
+    /// Detected as unhealthy, but kept in rotation by the floor. Takes work only when no other
+    /// endpoint is free.
     Suspect,
-    /// Takes a growing share of its slots.
+    /// Takes work on a growing share of its slots.
     Ramping {
         /// When the ramp began.
         since: Time,
@@ -57,16 +59,16 @@
         /// Good answers so far.
         good: u32,
     },
-    /// Is going away and takes no new work.
+    /// Leaves the service and takes no new work.
     Leaving,
 }
 
 impl State {
-    /// All that `name` returns.
+    /// Every value that [`Self::name`] returns.
     pub const NAMES: [&'static str; 7] =
         ["unknown", "healthy", "suspect", "ramping", "ejected", "trial", "leaving"];
 
-    /// Short name for reports and metrics.
+    /// Name used in reports and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
@@ -85,52 +87,54 @@
     }
 }
 
-/// A change of state, for the audit log and the report.
+/// A change of an endpoint's state, for the audit log and the report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// Identity of the endpoint.
     pub id: Name,
-    /// Its address.
+    /// Address of the endpoint.
     pub addr: SocketAddr,
-    /// Its state before.
+    /// The state before the change.
     pub from: State,
-    /// Its state now.
+    /// The state after the change.
     pub to: State,
-    /// Why, in one line.
+    /// The reason, in one line.
     pub reason: &'static str,
 }
 
-/// One endpoint in the rotation.
+/// The state of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointStatus {
-    /// Identity.
+    /// Identity of the endpoint.
     pub id: Name,
-    /// When this life began, in Unix milliseconds; 0 where nobody says.
+    /// Start of this incarnation, in Unix milliseconds; 0 if unknown.
     pub started_ms: u64,
     /// IP address and port.
     pub addr: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the endpoint.
     pub failure_domain: Name,
-    /// Requests that it works on at once.
+    /// Number of requests that the endpoint processes at once.
     pub slots: u32,
-    /// Its entry in the registry is missing, perhaps only for a moment.
+    /// The endpoint's registry entry is missing, perhaps only temporarily.
     pub is_missing: bool,
-    /// Its failure domain is evacuated: it gets no work.
+    /// The failure domain is evacuated, so the endpoint gets no work.
     pub is_evacuated: bool,
-    /// For how much longer it was cold when its entry was written.
+    /// Remaining warm-up time when the registry entry was written.
     pub warm_up: Duration,
-    /// Where it stands.
+    /// Current state.
     pub state: State,
-    /// When it came to stand there.
+    /// When the current state was entered.
     pub since: Time,
-    /// Last good answer.
+    /// When the last good answer arrived.
     pub last_good: Option<Time>,
 }
 
-/// Where each life of an endpoint stood in a rotation. What was learned of one life says nothing of the next one.
+/// Positions of endpoint incarnations in a rotation. Evidence about one incarnation does not apply
+/// to the next one.
 ///
-/// By identity, because endpoints change several times a second while many are replaced: with a search for each of 720
-/// endpoints among all, nodes on a tenth of a core stood still for 0.45 s at a time.
+/// The map is keyed by identity because the endpoint list changes several times a second during a
+/// rollout. Searching the list for each of 720 endpoints stalled nodes with a tenth of a core for
+/// 0.45 s.
 #[derive(Debug)]
 pub(crate) struct Lives(FxHashMap<Name, (u64, usize)>);
 
@@ -140,18 +144,18 @@
         Self(all.map(|(i, it)| (it.id.clone(), (it.started_ms, i))).collect())
     }
 
-    /// The position of this life.
+    /// The position of this incarnation.
     pub(crate) fn position(&self, it: &EndpointStatus) -> Option<usize> {
         let (started_ms, i) = *self.0.get(&it.id)?;
         (started_ms == it.started_ms).then_some(i)
     }
 
-    /// All of them: identity, start, position.
+    /// All incarnations: identity, start, position.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&Name, u64, usize)> {
         self.0.iter().map(|(id, (started_ms, i))| (id, *started_ms, *i))
     }
 
-    /// Whether some life of this endpoint is among them.
+    /// Whether any incarnation of this endpoint is included.
     pub(crate) fn knows(&self, id: &Name) -> bool {
         self.0.contains_key(id)
     }
@@ -175,18 +179,19 @@
         }
     }
 
-    /// Whether it is to be there and to serve: one that leaves, or whose entry is gone, may end by itself.
+    /// Whether the endpoint should be present and serving. An endpoint that is leaving or has lost
+    /// its registry entry may stop at any time.
     pub fn is_expected(&self) -> bool {
         !self.is_missing && !self.is_evacuated && self.state != State::Leaving
     }
 
-    /// Whether it is in rotation with fresh proof of health.
+    /// Whether the endpoint is healthy and has given a recent good answer.
     pub fn is_proven(&self, now: Time) -> bool {
         let fresh = self.last_good.is_some_and(|it| now.since(it) <= PROOF_LIFETIME);
         self.state == State::Healthy && fresh
     }
 
-    /// Slots that it may use now.
+    /// Number of slots that the endpoint's state allows now.
     pub fn usable_slots(&self, now: Time) -> u32 {
         let slots = self.slots;
         if self.is_evacuated {
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Whether a request may be placed on it, given whether the request is repeatable.
+    /// Whether the endpoint's state allows a request, which may be `repeatable`.
     pub fn admits(&self, now: Time, repeatable: bool) -> bool {
         match self.state {
             _ if self.is_evacuated => false,
@@ -213,19 +218,19 @@
     }
 }
 
-/// The endpoints of one service, as one node sees them.
+/// The endpoints of one service, as seen by one node.
 #[derive(Clone, Debug)]
 pub struct Rotation {
     endpoints: Vec<EndpointStatus>,
     positions: FxHashMap<Name, usize>,
     floors: Vec<DomainFloor>,
     changes: Vec<Change>,
-    /// Nothing here moves by time alone.
+    /// No state changes with time alone, so that `tick` has nothing to do.
     steady: bool,
 }
 
 impl Rotation {
-    /// A rotation in which nothing is known of any endpoint.
+    /// A rotation in which all endpoints are in their initial state.
     pub fn new(now: Time, service: &Service) -> Self {
         let endpoints: Vec<_> =
             service.endpoints.iter().map(|it| EndpointStatus::new(now, service, it)).collect();
@@ -247,25 +252,25 @@
         self.positions.get(id).copied()
     }
 
-    /// Endpoints that are in rotation with fresh proof of health.
+    /// Number of healthy endpoints that have given a recent good answer.
     pub fn proven(&self, now: Time) -> usize {
         self.endpoints.iter().filter(|it| it.is_proven(now)).count()
     }
 
-    /// Records something about an endpoint that does not change its state.
+    /// Reports an event of an endpoint that does not change its state.
     pub fn remark(&mut self, i: usize, reason: &'static str) {
         let it = &self.endpoints[i];
         let (id, addr, state) = (it.id.clone(), it.addr, it.state);
         self.changes.push(Change { id, addr, from: state, to: state, reason });
     }
 
-    /// Takes the changes since the last call.
+    /// Returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Follows a new configuration; endpoints that stay keep their standing, new ones and those that have started
-    /// again are cold.
+    /// Applies a new configuration. Endpoints that remain keep their state; new and restarted ones
+    /// are cold.
     pub fn reconfigure(&mut self, now: Time, service: &Service) {
         let old = std::mem::replace(self, Self::new(now, service));
         self.changes = old.changes;
@@ -278,7 +283,7 @@
                     it.since = kept.since;
                     it.last_good = kept.last_good;
                 }
-                // The first endpoints that are heard of have not just started.
+                // The endpoints of the first configuration have not necessarily just started.
                 None if old.endpoints.is_empty() => {}
                 None if it.state != State::Leaving => it.state = State::Ramping { since: now },
                 _ => {}
@@ -292,7 +297,7 @@
         self.restore_floor(now);
     }
 
-    /// Records a good answer and moves an endpoint on trial or under suspicion forward.
+    /// Records a good answer, which may complete a trial.
     pub fn good(&mut self, now: Time, i: usize) {
         let it = &mut self.endpoints[i];
         it.last_good = Some(now);
@@ -306,15 +311,15 @@
         }
     }
 
-    /// Ends the suspicion against an endpoint whose evidence has turned good.
+    /// Ends the suspicion against an endpoint whose outcomes have improved.
     pub fn clear(&mut self, now: Time, i: usize) {
         if self.endpoints[i].state == State::Suspect {
             self.set(now, i, State::Healthy, "evidence turned good");
         }
     }
 
-    /// Takes an endpoint that is judged sick out of rotation if the floor allows it; otherwise it
-    /// stays and takes work last.
+    /// Ejects an endpoint that was detected as unhealthy, if the floor allows it. Otherwise the
+    /// endpoint stays in rotation as a suspect.
     pub fn eject(&mut self, now: Time, i: usize, reason: &'static str) {
         match self.endpoints[i].state {
             State::Ejected { .. } | State::Leaving => {}
@@ -325,7 +330,8 @@
         }
     }
 
-    /// Marks an endpoint that says it is going away, whatever the registry tells. It stays so for all of its life.
+    /// Marks an endpoint as leaving, whatever the registry states. The state lasts for the rest of
+    /// the incarnation.
     pub(crate) fn leave(&mut self, now: Time, i: usize) {
         if self.endpoints[i].state == State::Leaving {
             return;
@@ -334,12 +340,12 @@
         self.restore_floor(now);
     }
 
-    /// Whether time alone moves nothing here, so that no tick is needed.
+    /// Whether no state changes with time alone, so that no tick is needed.
     pub fn is_steady(&self) -> bool {
         self.steady
     }
 
-    /// Moves the states that time alone moves.
+    /// Applies the state changes that depend on time alone.
     pub fn tick(&mut self, now: Time) {
         if self.steady {
             return;
--- a/crates/policy/src/rotation/floor.rs
+++ b/crates/policy/src/rotation/floor.rs
@@ -1,4 +1,4 @@
-//! The floor that ejections never go below, split over the failure domains.
+//! The floor below which ejections never reduce a service, split over its failure domains.
 
 use std::time::Duration;
 
@@ -7,12 +7,13 @@
 use super::{Rotation, State};
 use crate::time::Time;
 
-/// After a change of configuration the smaller of the old and new allowance holds for this long,
-/// because other nodes may still judge by the old one.
+/// After a change of configuration the stricter of the old and new floors applies for this long,
+/// because other nodes may still apply the old one.
 pub(crate) const SETTLE: Duration = Duration::from_secs(20);
 
-/// The floor of each failure domain, in endpoints, in the order of first mention: the sizes less
-/// the allowance for ejections, which is split by largest remainder. The parts add up to the floor.
+/// The floor of each failure domain, in endpoints, in the order of first mention. Each floor is the
+/// size of the failure domain minus its share of the permitted ejections, which are split by the
+/// largest-remainder method. The sum equals the floor of the service.
 pub fn domain_floors(service: &Service) -> Vec<(Name, usize)> {
     let mut sizes: Vec<(Name, usize)> = Vec::new();
     for it in &service.endpoints {
@@ -38,11 +39,12 @@
 pub(super) struct DomainFloor {
     pub(super) name: Name,
     pub(super) floor: usize,
-    /// A stricter floor that holds until the fleet has settled on a new configuration.
+    /// A stricter floor, and until when it applies after a change of configuration.
     pub(super) settling: Option<(usize, Time)>,
 }
 
 impl DomainFloor {
+    /// The floor that applies now.
     pub(super) fn current(&self, now: Time) -> usize {
         match self.settling {
             Some((floor, until)) if now < until => floor.max(self.floor),
@@ -52,13 +54,14 @@
 }
 
 impl Rotation {
-    /// The floor of a failure domain now, in endpoints.
+    /// The current floor of a failure domain, in endpoints.
     pub fn floor_of(&self, now: Time, failure_domain: &str) -> usize {
         let floor = self.floors.iter().find(|it| it.name == failure_domain);
         floor.map_or(0, |it| it.current(now))
     }
 
-    /// Whether the domain keeps its floor of proven endpoints without endpoint `i`.
+    /// Whether the failure domain keeps its floor of recently healthy endpoints without endpoint
+    /// `i`.
     pub(super) fn floor_allows(&self, now: Time, i: usize) -> bool {
         let domain = &self.endpoints[i].failure_domain;
         let proven = self
@@ -70,8 +73,8 @@
         proven >= self.floor_of(now, domain)
     }
 
-    /// Brings back the endpoints that were ejected longest ago while a domain has fewer endpoints
-    /// in rotation than its floor, as after a departure or a raised floor.
+    /// While a failure domain has fewer endpoints in rotation than its floor, as after a departure
+    /// or a raised floor, readmits the endpoints that were ejected first.
     pub(super) fn restore_floor(&mut self, now: Time) {
         for f in 0..self.floors.len() {
             let floor = self.floors[f].current(now);
