--- a/crates/policy/src/judge.rs
+++ b/crates/policy/src/judge.rs
@@ -1,9 +1,10 @@
-//! Verdicts on endpoints from the outcomes of real requests.
+//! Outlier detection: finds unhealthy endpoints from the outcomes of real requests.
 //!
-//! Outcomes are compared with the service's own baseline and summed up per endpoint by a sequential
-//! test. When a sum crosses its threshold the judge first asks whose fault it is: the endpoint's,
-//! the path's from one reporter or failure domain, or one that all siblings share. Only the first
-//! ejects. Probes and load reports are not evidence here.
+//! Outcomes are compared with the service's own baseline and accumulated per endpoint by a
+//! sequential test. When an endpoint's score crosses the threshold, the detector first attributes
+//! the failures: to the endpoint, to the network path from one reporter or failure domain, to a
+//! fault shared by all siblings, or to the reporter. Only a fault of the endpoint leads to an
+//! ejection. Health probes and load reports are not used as evidence.
 
 mod fault;
 
@@ -20,20 +21,21 @@
 use crate::verdict::{Score, Thresholds, log_ratio};
 use fault::{Fault, Scope};
 
-/// Outcomes kept per endpoint to find whose fault a bad run is.
+/// Outcomes kept per endpoint to attribute a run of failures.
 const RECENT: usize = 32;
-/// How long a path fault keeps a reporter away from an endpoint.
+/// How long a reporter avoids an endpoint after a path fault.
 const AVOID_FOR: Duration = Duration::from_secs(5);
-/// A fault that siblings share ejects nobody for this long, so that it has time to end.
+/// After a fault shared by siblings, the endpoint is not ejected for this long, so that the fault
+/// can end.
 const EXCUSED_FOR: Duration = Duration::from_secs(2);
-/// The baseline is decayed this often.
+/// Interval at which the baseline is decayed.
 const REFRESH: Duration = Duration::from_millis(100);
-/// Part of the baseline that is kept at each refresh: a half-life of about seven seconds.
+/// Share of the baseline kept at each refresh: a half-life of about seven seconds.
 const KEEP: f64 = 0.99;
-/// How much the part of bad siblings raises the threshold. One sick endpoint among well ones is not
-/// found any later for it.
+/// How much the share of failing siblings raises the threshold. A single unhealthy endpoint among
+/// healthy ones is detected no later.
 const SIBLING_WEIGHT: f64 = 2.0;
-/// Part of the threshold that fails a trial: one stalled request, or several late ones.
+/// Fraction of the ejection threshold that fails a trial: one stalled request or several late ones.
 const TRIAL_PART: f64 = 0.3;
 #[derive(Clone, Copy, Debug)]
 struct Recent {
@@ -41,7 +43,7 @@
     started: Time,
     reporter: Reporter,
     class: Class,
-    /// What it added to the score.
+    /// The log-likelihood ratio that the outcome added to the score.
     ratio: f64,
 }
 
@@ -50,7 +52,7 @@
     score: Score,
     recent: VecDeque<Recent>,
     avoid: Vec<Avoid>,
-    /// Its siblings were as bad; until then it is not judged again.
+    /// Until then the endpoint is not examined again, because its siblings failed as well.
     excused_until: Time,
 }
 
@@ -60,7 +62,7 @@
     until: Time,
 }
 
-/// The judge of one service on one node.
+/// The outlier detector of one service on one node.
 #[derive(Clone, Debug)]
 pub(crate) struct Judge {
     pub(crate) rotation: Rotation,
@@ -68,9 +70,9 @@
     thresholds: Thresholds,
     evidence: Vec<Evidence>,
     refreshed: Time,
-    /// Outcomes have come since the last refresh.
+    /// Outcomes have arrived since the last refresh.
     is_active: bool,
-    /// Counts for the report: path, shared and reporter faults seen.
+    /// Numbers of path, shared and reporter faults found, for the report.
     pub(crate) path_faults: u64,
     pub(crate) shared_faults: u64,
     pub(crate) reporter_faults: u64,
@@ -93,6 +95,7 @@
         }
     }
 
+    /// Applies a new configuration; evidence about remaining endpoint incarnations is kept.
     pub(crate) fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
         let before = Lives::of(self.rotation.endpoints());
         let mut evidence = std::mem::take(&mut self.evidence);
@@ -110,7 +113,7 @@
         self.baseline.retain_routes(routes);
     }
 
-    /// Takes in one outcome.
+    /// Applies one outcome.
     pub(crate) fn observe(&mut self, now: Time, it: Observation) {
         let Some(class) = self.baseline.class_of(it.kind, it.route, it.elapsed) else { return };
         self.is_active = true;
@@ -129,22 +132,22 @@
         }
     }
 
-    /// Whether a path fault keeps anybody away from an endpoint.
+    /// Whether any path fault is in effect.
     pub(crate) fn has_path_faults(&self) -> bool {
         self.evidence.iter().any(|it| !it.avoid.is_empty())
     }
 
-    /// Whether a path fault keeps `reporter` away from an endpoint.
+    /// Whether a path fault makes `reporter` avoid an endpoint.
     pub(crate) fn avoids(&self, now: Time, endpoint: usize, reporter: Reporter) -> bool {
         self.evidence[endpoint].avoid.iter().any(|it| now < it.until && it.scope.covers(reporter))
     }
 
-    /// The sequential test's score of an endpoint.
+    /// The score of an endpoint in the sequential test.
     pub(crate) fn score(&self, endpoint: usize) -> f64 {
         self.evidence[endpoint].score.value()
     }
 
-    /// Moves what time alone moves. Call it several times a second.
+    /// Applies the changes that depend on time alone. To be called several times a second.
     pub(crate) fn tick(&mut self, now: Time) {
         self.rotation.tick(now);
         self.start_trials(now);
@@ -161,12 +164,13 @@
         }
     }
 
-    /// Whether nothing has happened that a tick would have to follow up.
+    /// Whether a tick has nothing to do.
     pub(crate) fn is_idle(&self) -> bool {
         !self.is_active && self.rotation.is_steady()
     }
 
-    /// Drops all evidence, as after a pause of this process: it may speak of our own absence.
+    /// Drops all evidence, as after a pause of this process: requests may have failed because of
+    /// the pause.
     pub(crate) fn forget(&mut self) {
         self.evidence.iter_mut().for_each(|it| *it = Evidence::default());
     }
@@ -202,7 +206,7 @@
                 self.reporter_faults += 1;
                 self.discard(reporter);
             }
-            // Siblings that are alike are used alike.
+            // Siblings that fail alike stay in rotation alike.
             Fault::Shared => {
                 self.shared_faults += 1;
                 self.evidence[it.endpoint].excused_until = now + EXCUSED_FOR;
@@ -210,28 +214,28 @@
         }
     }
 
-    /// Takes what a sick endpoint did out of what counts as normal; otherwise the next one that falls
-    /// sick in the same way would look less unusual.
+    /// Removes the failures of an unhealthy endpoint from the baseline. Otherwise the next endpoint
+    /// that fails in the same way would look less unusual.
     fn purge_baseline(&mut self, now: Time, endpoint: usize) {
         let bad: Vec<Class> = self.recent(now, endpoint).map(|it| it.class).collect();
         bad.into_iter().filter(|it| it.is_bad()).for_each(|it| self.baseline.remove(it));
     }
 
-    /// Whether the evidence suffices. It takes more when siblings have begun to look bad too, so that
-    /// a shared fault has time to show at all of them.
+    /// Whether the evidence suffices for an ejection. The threshold is higher when siblings have
+    /// begun to fail too, so that a shared fault has time to show at all of them.
     fn is_convicted(&self, now: Time, i: usize) -> bool {
         let score = self.evidence[i].score.value();
         score >= self.thresholds.eject * (1.0 + SIBLING_WEIGHT * self.bad_siblings(now, i))
     }
 
-    /// On trial little evidence is enough: the endpoint was judged sick a moment ago.
+    /// Fails a trial on little evidence, because the endpoint was unhealthy a moment ago.
     fn judge_trial(&mut self, now: Time, i: usize) {
         if self.evidence[i].score.value() >= self.thresholds.eject * TRIAL_PART {
             self.rotation.eject(now, i, "trial failed");
         }
     }
 
-    /// Evidence from before a trial does not count in it.
+    /// Discards the evidence from before a trial.
     fn start_trials(&mut self, now: Time) {
         for (it, evidence) in self.rotation.endpoints().iter().zip(&mut self.evidence) {
             if matches!(it.state, State::Trial { since, .. } if since == now) {
@@ -240,7 +244,7 @@
         }
     }
 
-    /// An endpoint that the floor kept is ejected as soon as the floor allows it.
+    /// Ejects a suspect as soon as the floor allows it.
     fn retry_ejection(&mut self, now: Time, i: usize) {
         let is_suspect = self.rotation.endpoints()[i].state == State::Suspect;
         if is_suspect && self.is_convicted(now, i) && self.whose_fault(now, i) == Fault::Endpoint {
--- a/crates/policy/src/judge/fault.rs
+++ b/crates/policy/src/judge/fault.rs
@@ -1,5 +1,5 @@
-//! Whose fault it is when an endpoint looks bad: its own, that of the path from one reporter or failure
-//! domain, one that all siblings share, or the reporter's.
+//! Attribution of an endpoint's failures: to the endpoint itself, to the network path from one
+//! reporter or failure domain, to a fault shared by all siblings, or to the reporter.
 
 use std::time::Duration;
 
@@ -9,18 +9,20 @@
 use crate::time::Time;
 use crate::verdict::Score;
 
-/// Outcomes older than this do not speak about a current fault.
+/// Outcomes older than this are no evidence of a current fault.
 const RECENT_LIFETIME: Duration = Duration::from_secs(10);
-/// Outcomes of others that are needed to speak for an endpoint.
+/// Outcomes seen by other reporters that are needed to exonerate an endpoint.
 const MIN_ELSEWHERE: usize = 3;
-/// Part of the threshold that the evidence of others must stay below to speak for an endpoint.
+/// Fraction of the ejection threshold below which the score from other reporters must stay to
+/// exonerate the endpoint.
 const ELSEWHERE_PART: f64 = 0.3;
-/// A fault is shared when this part of the siblings look bad: more than one failure domain of three.
+/// A fault is shared when at least this share of the siblings fails: more than one failure domain
+/// of three.
 const SHARED_BY: f64 = 0.4;
-/// A reporter that sees this many endpoints fail while others see them work is itself at fault.
+/// A reporter is itself at fault when it sees this many endpoints fail while others see them work.
 const OWN_FAULT_ENDPOINTS: usize = 3;
 
-/// Whom a path fault concerns.
+/// The reporters that a path fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scope {
     Node(NodeId),
@@ -36,7 +38,7 @@
     }
 }
 
-/// Whose fault a bad run is.
+/// The cause of a run of failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     Endpoint,
@@ -46,7 +48,7 @@
 }
 
 impl Judge {
-    /// Whose fault the bad outcomes of an endpoint are.
+    /// Attributes the bad outcomes of an endpoint.
     pub(super) fn whose_fault(&self, now: Time, endpoint: usize) -> Fault {
         let bad = self.recent(now, endpoint).filter(|it| it.class.is_bad()).map(|it| it.reporter);
         for reporter in bad {
@@ -63,8 +65,8 @@
         if is_shared { Fault::Shared } else { Fault::Endpoint }
     }
 
-    /// Whether those outside `scope` see the endpoint work, by outcomes of requests that began after
-    /// the first bad one of the scope had begun.
+    /// Whether reporters outside `scope` see the endpoint work. Their good outcomes count only for
+    /// requests that began after the first request that failed inside the scope.
     fn is_well_elsewhere(&self, now: Time, endpoint: usize, scope: Scope) -> bool {
         let mut covered = self.recent(now, endpoint).filter(|it| scope.covers(it.reporter));
         let Some(first) = covered.find(|it| it.class.is_bad()) else { return false };
@@ -80,6 +82,7 @@
         seen >= MIN_ELSEWHERE && score.value() < self.thresholds.eject * ELSEWHERE_PART
     }
 
+    /// Recent outcomes of an endpoint.
     pub(super) fn recent(&self, now: Time, endpoint: usize) -> impl Iterator<Item = &Recent> {
         let recent = self.evidence[endpoint].recent.iter();
         recent.filter(move |it| now.since(it.at) < RECENT_LIFETIME)
@@ -95,7 +98,7 @@
         self.evidence.iter().filter(|it| fails(it)).count() >= OWN_FAULT_ENDPOINTS
     }
 
-    /// The part of the siblings that have begun to look as bad, among those at work.
+    /// The share of the active siblings that have begun to fail too.
     pub(super) fn bad_siblings(&self, now: Time, endpoint: usize) -> f64 {
         let siblings = (0..self.evidence.len())
             .filter(|i| *i != endpoint && self.rotation.endpoints()[*i].state.in_rotation())
@@ -108,7 +111,7 @@
         bad as f64 / f64::from(all.max(1))
     }
 
-    /// Whether this node has heard of work on the endpoint lately.
+    /// Whether outcomes of the endpoint have arrived recently.
     fn is_active(&self, now: Time, i: usize) -> bool {
         self.evidence[i].recent.back().is_some_and(|it| now.since(it.at) < RECENT_LIFETIME)
     }
