--- a/crates/policy/src/served.rs
+++ b/crates/policy/src/served.rs
@@ -1,39 +1,41 @@
-//! The share of a service's work that is not served, over the last seconds and over the last moments.
+//! The share of a service's requests that is not served, over the last seconds and over a shorter
+//! window.
 //!
-//! The users judge a service by all requests of the routes that lead to it. Where a route is split over several services,
-//! most of these never come here; what the others do not serve is told by the nodes that asked, and how many there were
-//! follows from the weights. Seen by its own part alone, a service of 57 endpoints whose route lost 154 of 623 requests in
-//! two seconds had nothing unserved, and left sound endpoints without work.
+//! The availability target counts all requests of the routes that lead to a service. When a route
+//! is split over several services, most of its requests never reach this dispatcher: the weights of
+//! the split give the number of requests sent to other services, and the asking nodes report how
+//! many of those were not served. Without this, a service with 57 endpoints whose route lost 154 of
+//! 623 requests in two seconds counted no unserved request and left healthy endpoints without work.
 
 use std::time::Duration;
 
 use crate::belief::Strain;
 use crate::time::Time;
 
-/// Time after which an outcome counts for a third. The users look at stretches of two seconds.
+/// Time constant with which outcomes decay. The availability target uses windows of two seconds.
 const MEMORY: Duration = Duration::from_secs(2);
-/// Share of failures from which on endpoints are tried again sooner. The users' floor binds from a
-/// tenth of the requests on.
+/// Share of unserved requests above which failed endpoints are tried again sooner. The availability
+/// target takes effect at a tenth of the requests.
 const STRAINED: f64 = 0.09;
-/// Share of failures from which on nobody is left alone for long. Where three endpoints of ten are sick at any time
-/// and nobody is tried, one request of forty fails.
+/// Share of unserved requests above which no endpoint stays idle for long. When three endpoints of
+/// ten are unhealthy at any time and none of them is tried, one request of forty fails.
 const GROWING: f64 = 0.06;
-/// Time after which an outcome counts for a third in the latest share, which shows a sudden change before the
-/// other one does.
+/// Time constant of the shorter window, which shows a sudden change earlier.
 const LATEST: Duration = Duration::from_millis(400);
-/// Share of the latest failures from which on nobody is left alone for long: of few outcomes more fail by chance.
+/// Share of unserved requests in the shorter window above which no endpoint stays idle for long. It
+/// is higher because the share varies more in a smaller sample.
 const LATEST_GROWING: f64 = 0.12;
-/// Outcomes below which a share says little.
+/// Number of outcomes up to which the share is taken as zero.
 const MIN_OUTCOMES: f64 = 5.0;
 
-/// How a piece of work ended.
+/// Whether a request was served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ending {
     Served,
     Unserved,
 }
 
-/// Counts of endings that lose weight with a time constant.
+/// Exponentially decaying counts.
 #[derive(Clone, Copy, Debug)]
 struct Decayed {
     memory: Duration,
@@ -42,7 +44,7 @@
     at: Time,
 }
 
-/// Endings over the last seconds and over the last moments.
+/// Counts of served and unserved requests over both windows.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Served {
     lately: Decayed,
@@ -56,7 +58,7 @@
 }
 
 impl Served {
-    /// Takes in one ending.
+    /// Records one request.
     pub(crate) fn note(&mut self, now: Time, ending: Ending) {
         let (served, unserved) = match ending {
             Ending::Served => (1.0, 0.0),
@@ -65,12 +67,12 @@
         self.add(now, served, unserved);
     }
 
-    /// Takes in requests that went to other services, and are served there as far as is known.
+    /// Records requests sent to other services. They count as served until reported otherwise.
     pub(crate) fn note_elsewhere(&mut self, now: Time, requests: f64) {
         self.add(now, requests, 0.0);
     }
 
-    /// Takes in that some of these were not served.
+    /// Records that some of the requests sent to other services were not served.
     pub(crate) fn note_unserved_elsewhere(&mut self, now: Time, requests: u32) {
         let requests = f64::from(requests);
         self.add(now, -requests, requests);
@@ -81,7 +83,7 @@
         self.latest.add(now, served, unserved);
     }
 
-    /// Whether so much fails that endpoints must be tried again sooner.
+    /// The pressure that follows from the share of unserved requests.
     pub(crate) fn strain(&self, now: Time) -> Strain {
         let lately = self.lately.unserved_share(now);
         match lately {
@@ -105,7 +107,7 @@
         self.at = now;
     }
 
-    /// The share that is not served; zero where too little was heard of to say so.
+    /// The share of unserved requests; zero when there are too few or no recent outcomes.
     fn unserved_share(&self, now: Time) -> f64 {
         let all = self.served + self.unserved;
         let is_old = now.since(self.at) > self.memory;
--- a/crates/policy/src/signs.rs
+++ b/crates/policy/src/signs.rs
@@ -1,30 +1,35 @@
-//! What the outcomes of requests say about sickness, learned from the outcomes of the service itself.
+//! How likely each outcome of a request is at unhealthy endpoints, learned from the service's own
+//! outcomes.
 //!
-//! How requests end at sick endpoints, and which part of the endpoints is sick, differ from service to
-//! service: some fail at once, others hang; some are sick now and then, others never. Each outcome is
-//! counted as one of a sick endpoint if its endpoint is more likely sick than not (expectation
-//! maximisation with hard assignment), beside a weak prior. How well endpoints behave is in the baseline.
+//! How requests end at unhealthy endpoints, and what share of endpoints is unhealthy, differ
+//! between services: some endpoints fail at once, others hang; some services have occasional
+//! episodes, others none. Each outcome counts towards the unhealthy class if its endpoint is more
+//! likely unhealthy than healthy (expectation maximisation with hard assignment), in addition to a
+//! weak prior. The behaviour of healthy endpoints is part of the baseline.
 
 use crate::baseline::Baseline;
 use crate::observation::Kind;
 
 /// Weight of the prior, in outcomes.
 const PRIOR_OUTCOMES: f64 = 12.0;
-/// Prior shares of requests at a sick endpoint that are answered, fail, and stay without an answer: all
-/// alike, because nothing is known of how its endpoints fall sick.
+/// Prior shares of requests at an unhealthy endpoint that are answered, fail, and stay unanswered.
+/// They are nearly equal because nothing is known beforehand of how the service's endpoints fail.
 const PRIOR_ENDS: [f64; 3] = [0.3, 0.35, 0.35];
-/// Prior share of sick endpoints, and its weight in endpoints.
+/// Prior share of unhealthy endpoints.
 const PRIOR_SICK: f64 = 0.2;
+/// Weight of [`PRIOR_SICK`], in endpoints.
 const PRIOR_ENDPOINTS: f64 = 4.0;
-/// Bounds of the share of sick endpoints that is learned: below, one failure would not be believed;
-/// above, nobody would be.
+/// Bounds of the learned share of unhealthy endpoints. With a lower one, a single failure would not
+/// count; with a higher one, every endpoint would be doubted.
 const SICK_BOUNDS: (f64, f64) = (0.05, 0.4);
-/// Weight of the present share in the one that is learned, at each refresh: half in seven seconds.
+/// Weight of the present share of unhealthy endpoints at each refresh: a half-life of seven
+/// seconds.
 const SHARE_GAIN: f64 = 0.01;
-/// Part of the counts that is kept at each refresh: half in seventy seconds, several episodes.
+/// Share of the counts kept at each refresh: a half-life of seventy seconds, which covers several
+/// episodes.
 const KEEP: f64 = 0.999;
 
-/// How a request ended at a sick endpoint.
+/// How a request ended at an unhealthy endpoint.
 #[derive(Clone, Copy, Debug)]
 enum End {
     Answered,
@@ -32,12 +37,12 @@
     Silent,
 }
 
-/// What is learned for one service.
+/// The outcome likelihoods learned for one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Signs {
-    /// Outcomes at sick endpoints, by `End`.
+    /// Outcomes at unhealthy endpoints, indexed by `End`.
     at_sick: [f64; 3],
-    /// Share of sick endpoints.
+    /// Share of unhealthy endpoints.
     share: f64,
 }
 
@@ -48,13 +53,13 @@
 }
 
 impl Signs {
-    /// Probability that an endpoint is sick of which nothing was heard for long.
+    /// Probability that an endpoint without recent outcomes is unhealthy.
     pub(crate) fn share(&self) -> f64 {
         self.share
     }
 
-    /// How much more likely an outcome is at a sick endpoint than at a well one. Load alone says
-    /// nothing.
+    /// Likelihood ratio (unhealthy against healthy) of an outcome. Outcomes that depend on load
+    /// alone are no evidence.
     pub(crate) fn ratio(&self, baseline: &Baseline, kind: Kind, route: u32) -> f64 {
         match kind {
             Kind::Answered => self.part(End::Answered) / (1.0 - baseline.fails(route)),
@@ -65,14 +70,14 @@
         }
     }
 
-    /// How much more likely a request is still open at a sick endpoint than at a well one, where the
-    /// share `still_open` is.
+    /// Likelihood ratio (unhealthy against healthy) of a request that is still open, where the
+    /// share `still_open` of the requests at healthy endpoints is open at that age.
     pub(crate) fn silence(&self, still_open: f64) -> f64 {
         let silent = self.part(End::Silent);
         (silent + (1.0 - silent) * still_open) / still_open
     }
 
-    /// Counts an outcome at an endpoint that is sick with the probability `sick`.
+    /// Counts an outcome at an endpoint that is unhealthy with the probability `sick`.
     pub(crate) fn learn(&mut self, kind: Kind, sick: f64) {
         let end = match kind {
             Kind::Answered => End::Answered,
@@ -85,7 +90,7 @@
         }
     }
 
-    /// Lets old counts lose weight, and follows the probabilities of the endpoints in use.
+    /// Decays the counts and follows the probabilities of the endpoints in use.
     pub(crate) fn refresh(&mut self, sick: impl Iterator<Item = f64>) {
         self.at_sick.iter_mut().for_each(|it| *it *= KEEP);
         let (mut sum, mut n) = (PRIOR_SICK * PRIOR_ENDPOINTS, PRIOR_ENDPOINTS);
@@ -97,6 +102,7 @@
         self.share = self.share.clamp(SICK_BOUNDS.0, SICK_BOUNDS.1);
     }
 
+    /// The estimated share of requests at unhealthy endpoints that end like this.
     fn part(&self, end: End) -> f64 {
         let total: f64 = self.at_sick.iter().sum();
         let i = end as usize;
