--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -1,7 +1,7 @@
-//! What is normal for a service: how long its answers take and how often they are bad.
+//! The normal behaviour of a service: how long its answers take and how often outcomes are bad.
 //!
-//! Both are pooled over the endpoints that are in good standing, and decay, so that an endpoint is
-//! always compared with its siblings of the last seconds.
+//! Both are pooled over the endpoints in good standing and decay with time, so that an endpoint is
+//! always compared with its siblings over the last seconds.
 
 mod latency;
 
@@ -13,25 +13,26 @@
 use crate::observation::Kind;
 use latency::{Latency, PRIOR_FAILS};
 
-/// A request is stalled when it is open for this many late thresholds. With three, a request that
-/// hangs is noticed after the deadlines of the users' routes.
+/// A request is stalled when it has been open for this many late thresholds. With three, a hanging
+/// request was noticed only after the deadlines of the operators' routes.
 const STALL_FACTOR: u32 = 2;
-/// A route on which so many healthy requests are still open tells nothing by silence.
+/// On a route where more than this share of healthy requests is still open at some age, an open
+/// request of that age is no evidence.
 const USUALLY_OPEN: f64 = 0.25;
 /// Late threshold of a route that this node does not know yet.
 const LATE_ON_UNKNOWN: Duration = Duration::from_millis(600);
 
-/// Weight of prior knowledge, in samples.
+/// Weight of the prior shares, in samples.
 const PRIOR: f64 = 400.0;
-/// Prior shares of late, stalled, failed and shed answers.
+/// Prior shares of late, stalled, failed and shed outcomes.
 const PRIOR_SHARE: [f64; 4] = [0.02, 0.0005, 0.002, 0.05];
-/// Lowest share that is believed, whatever was counted.
+/// Lower bounds of the estimated shares.
 const MIN_SHARE: [f64; 4] = [0.015, 0.0005, 0.001, 0.01];
 
-/// Counts of good, late, stalled, failed and shed outcomes; addition merges them.
+/// Counts of good, late, stalled, failed and shed outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Tally {
-    /// Whole answers in time.
+    /// Complete answers in time.
     good: f64,
     /// Late, stalled, failed and shed outcomes.
     bad: [f64; 4],
@@ -63,14 +64,14 @@
     }
 }
 
-/// What is to be known of a route that leads to a service.
+/// Terms of a route that leads to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteTerms {
     /// Hash of the route's name.
     pub id: u32,
-    /// Time within which an answer is worth most to the caller.
+    /// The route's objective: answers that take longer are of less use to the caller.
     pub objective: Duration,
-    /// Part of the route's requests that come to this service; the others go to other services.
+    /// Share of the route's requests that this service receives; the others go to other services.
     pub share: f64,
 }
 
@@ -87,13 +88,13 @@
         self.routes.get(&route).map_or(LATE_ON_UNKNOWN, |it| it.late_after)
     }
 
-    /// Share of the route's healthy requests that are still open after `elapsed`. Until enough answers
-    /// are known it rests on the objective.
+    /// Share of the route's healthy requests that are still open after `elapsed`. Before enough
+    /// answers are known, the objective determines the result.
     pub(crate) fn still_open(&self, route: u32, elapsed: Duration) -> f64 {
         self.routes.get(&route).map_or(1.0, |it| it.still_open(elapsed))
     }
 
-    /// Share of the route's requests that fail at well endpoints.
+    /// Share of the route's requests that fail at healthy endpoints.
     pub(crate) fn fails(&self, route: u32) -> f64 {
         self.routes.get(&route).map_or(PRIOR_FAILS, Latency::fails)
     }
@@ -108,7 +109,7 @@
         self.routes.get(&route).map_or(LATE_ON_UNKNOWN, |it| it.hedge_after)
     }
 
-    /// The class of an outcome; nothing for a request that was abandoned before it was late.
+    /// The class of an outcome, or `None` if the outcome is no evidence.
     pub(crate) fn class_of(&self, kind: Kind, route: u32, elapsed: Duration) -> Option<Class> {
         let is_late = elapsed > self.late_after(route);
         let is_silence = matches!(kind, Kind::Stalled | Kind::TimedOut | Kind::Abandoned);
@@ -135,7 +136,7 @@
         })
     }
 
-    /// Keeps the latencies of the routes that still exist.
+    /// Applies a new set of routes and keeps what is known of those that remain.
     pub(crate) fn retain_routes(&mut self, routes: &[RouteTerms]) {
         self.routes.retain(|id, _| routes.iter().any(|it| it.id == *id));
         for it in routes {
@@ -153,26 +154,26 @@
         }
     }
 
-    /// Adds a request without an answer, with the probability that its endpoint is well.
+    /// Adds an unanswered request, weighted by the probability that its endpoint is healthy.
     pub(crate) fn add_unanswered(&mut self, route: u32, elapsed: Duration, well: f64) {
         if let Some(latency) = self.routes.get_mut(&route) {
             latency.add_unanswered(elapsed, well);
         }
     }
 
-    /// Adds a request that failed, with the probability that its endpoint is well.
+    /// Adds a failed request, weighted by the probability that its endpoint is healthy.
     pub(crate) fn add_failed(&mut self, route: u32, well: f64) {
         if let Some(latency) = self.routes.get_mut(&route) {
             latency.add_failed(well);
         }
     }
 
-    /// Takes one outcome out again.
+    /// Removes one outcome.
     pub(crate) fn remove(&mut self, class: Class) {
         self.tally.remove(class);
     }
 
-    /// Decays the counts by `keep` and derives the late thresholds anew.
+    /// Decays the counts by the factor `keep` and recomputes the late thresholds.
     pub(crate) fn refresh(&mut self, keep: f64) {
         self.tally.decay(keep);
         self.routes.values_mut().for_each(|it| it.refresh(keep));
--- a/crates/policy/src/baseline/latency.rs
+++ b/crates/policy/src/baseline/latency.rs
@@ -1,4 +1,4 @@
-//! How long the healthy requests of one route take, and how many of them fail.
+//! Latencies and failure rate of one route's requests at healthy endpoints.
 
 use std::time::Duration;
 
@@ -8,44 +8,47 @@
 const MIN_SAMPLES: f64 = 100.0;
 /// Share of healthy answers that may count as late.
 const LATE_SHARE: f64 = 0.02;
-/// Part of the healthy answers that are expected within the route's objective before any was seen.
+/// Prior share of healthy answers within the route's objective.
 const WITHIN_OBJECTIVE: f64 = 0.9;
-/// Weight of that expectation, in answers.
+/// Weight of that prior, in answers.
 const EXPECTED_WEIGHT: f64 = 3.0;
-/// Healthy answers that may still be to come, whatever was counted: work sometimes takes very long.
+/// Lower bound of the share of healthy requests still open at any age: some requests take very
+/// long.
 const MIN_STILL_OPEN: f64 = 0.005;
-/// Prior share of requests that fail at well endpoints, its weight in requests, and the least that is
-/// believed: rare failures are met too seldom to count them.
+/// Prior share of requests that fail at healthy endpoints.
 pub(super) const PRIOR_FAILS: f64 = 0.0125;
+/// Weight of [`PRIOR_FAILS`], in requests.
 const PRIOR_FAILS_WEIGHT: f64 = 60.0;
+/// Lower bound of the share of failures: rare failures are observed too seldom to count them.
 const MIN_FAILS: f64 = 0.004;
-/// A request is late enough for a hedge when at most this share of the healthy ones is still open.
+/// A request is late enough for a hedge when at most this share of the healthy requests is still
+/// open.
 const HEDGE_SHARE: f64 = 0.2;
-/// Ages up to the latest at which a hedge may start that are looked at.
+/// Number of ages, up to the latest start of a hedge, that are examined.
 const HEDGE_STEPS: u32 = 24;
-/// Part of the objective after which a hedge starts at the latest, so that its answer can still be in
-/// time.
+/// Fraction of the objective after which a hedge starts at the latest, so that its answer can still
+/// arrive in time.
 const HEDGE_OBJECTIVE_PART: f64 = 0.5;
 /// Samples below which a route counts as unused.
 const FORGOTTEN: f64 = 0.01;
-/// Bounds of the late threshold.
+/// Lower bound of the late threshold.
 const MIN_LATE: Duration = Duration::from_millis(5);
 
 /// Latencies of one route.
 #[derive(Clone, Debug)]
 pub(super) struct Latency {
     objective: Duration,
-    /// Nothing was added since all was forgotten.
+    /// No sample has been added since the last reset.
     is_empty: bool,
-    /// Answers by the time that they took.
+    /// Answers by latency.
     histogram: [f32; BUCKETS],
-    /// Requests at well endpoints that were given up without an answer, by the time that they had.
+    /// Unanswered requests at healthy endpoints, by the time after which they were given up.
     unanswered: [f32; BUCKETS],
-    /// Requests at well endpoints that failed.
+    /// Failed requests at healthy endpoints.
     failed: f64,
     /// Answers above the lower edge of each bucket, as of the last refresh.
     above: [f32; BUCKETS + 1],
-    /// The same of requests without an answer.
+    /// Unanswered requests above the lower edge of each bucket, as of the last refresh.
     unanswered_above: [f32; BUCKETS + 1],
     /// Answers that take longer are late.
     pub(super) late_after: Duration,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Follows a change of the route's objective.
+    /// Applies a change of the route's objective.
     pub(super) fn set_objective(&mut self, objective: Duration) {
         self.objective = objective;
         self.hedge_after = self.find_hedge_after();
@@ -80,20 +83,20 @@
         self.is_empty = false;
     }
 
-    /// Adds a request without an answer, with the probability that its endpoint is well.
+    /// Adds an unanswered request, weighted by the probability that its endpoint is healthy.
     pub(super) fn add_unanswered(&mut self, elapsed: Duration, well: f64) {
         self.unanswered[bucket(elapsed)] += well as f32;
         self.is_empty = false;
     }
 
-    /// Adds a request that failed, with the probability that its endpoint is well.
+    /// Adds a failed request, weighted by the probability that its endpoint is healthy.
     pub(super) fn add_failed(&mut self, well: f64) {
         self.failed += well;
         self.is_empty = false;
     }
 
-    /// Decays the samples and derives anew what follows from them. Most routes see no request at most
-    /// times and cost nothing.
+    /// Decays the samples and recomputes everything derived from them. Routes without samples,
+    /// which are most of them, cost nothing.
     pub(super) fn refresh(&mut self, keep: f64) {
         if self.is_empty {
             return;
@@ -124,14 +127,14 @@
         steps.into_iter().find(is_late).unwrap_or(latest)
     }
 
-    /// Share of the requests at well endpoints that fail.
+    /// Share of requests at healthy endpoints that fail.
     pub(super) fn fails(&self) -> f64 {
         let all = f64::from(self.above[0]) + self.failed + PRIOR_FAILS_WEIGHT;
         ((self.failed + PRIOR_FAILS * PRIOR_FAILS_WEIGHT) / all).max(MIN_FAILS)
     }
 
-    /// Share of healthy requests that are open for longer than `elapsed`, by answers and by requests
-    /// that were given up later (Kaplan and Meier, 1958, with those given up earlier left out).
+    /// Share of healthy requests that are open for longer than `elapsed`, from the answers and from
+    /// the requests given up later (Kaplan and Meier, 1958, without those given up earlier).
     pub(super) fn still_open(&self, elapsed: Duration) -> f64 {
         let in_objectives = elapsed.as_secs_f64() / self.objective.as_secs_f64().max(1e-3);
         let expected = (1.0 - WITHIN_OBJECTIVE).powf(in_objectives);
@@ -145,7 +148,7 @@
     }
 }
 
-/// Position of a latency among the buckets; its fraction is that of the way through the bucket.
+/// Position of a latency among the buckets; the fraction is the position within the bucket.
 fn position(elapsed: Duration) -> f64 {
     let units = (elapsed.as_micros() as f64 / 64.0).max(1.0);
     (units.log2() * 2.0).min(BUCKETS as f64 - 1.0)
--- a/crates/policy/src/class.rs
+++ b/crates/policy/src/class.rs
@@ -1,6 +1,6 @@
-//! Classes of outcomes, after comparison with what is normal for a service.
+//! Classes of outcomes.
 
-/// An outcome after comparison with the baseline.
+/// An outcome after comparison with the baseline of its service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Class {
     Good,
@@ -11,6 +11,7 @@
 }
 
 impl Class {
+    /// Index of the class among the counts of bad outcomes.
     pub(crate) fn bad_index(self) -> Option<usize> {
         match self {
             Self::Good => None,
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Whether the outcome speaks for sickness. Shedding speaks for load alone.
+    /// Whether the outcome is evidence of an unhealthy endpoint. Shedding only shows load.
     pub(crate) fn is_bad(self) -> bool {
         !matches!(self, Self::Good | Self::Shed)
     }
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -1,23 +1,23 @@
-//! The sequential change test: a cumulative sum of log-likelihood ratios, sick against healthy
-//! (Page, 1954). Its threshold bounds how often a healthy endpoint is taken for sick.
+//! The sequential change test: a cumulative sum of log-likelihood ratios, unhealthy against healthy
+//! (Page, 1954). Its threshold bounds how often a healthy endpoint is detected as unhealthy.
 
 use resources::Bias;
 
 use crate::class::Class;
 
-/// Share of its good answers that a sick endpoint turns into each bad class.
+/// Share of the good answers of an endpoint that becomes each bad class when it is unhealthy.
 const SICK_SHARE: f64 = 0.15;
-/// Number of bad classes that count as sickness: late, stalled and failed.
+/// Number of bad classes that are evidence of an unhealthy endpoint: late, stalled and failed.
 const SICK_CLASSES: f64 = 3.0;
-/// Part of a crossing score that evidence against a shared fault may reach; see `Judge`.
+/// Fraction of the ejection threshold from which a sibling counts towards a shared fault.
 const SHARED_PART: f64 = 0.25;
 
 /// Thresholds of the test for one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Thresholds {
-    /// Score at which an endpoint is taken for sick.
+    /// Score at which an endpoint is detected as unhealthy.
     pub(crate) eject: f64,
-    /// Score of the siblings from which on a fault counts as shared.
+    /// Score from which a sibling counts towards a shared fault.
     pub(crate) shared: f64,
 }
 
@@ -46,8 +46,8 @@
         self.0 = 0.0;
     }
 
-    /// Adds one outcome; the sum is kept between zero and twice the threshold, so that a recovered
-    /// endpoint is not held down by old evidence.
+    /// Adds one outcome. The sum is kept between zero and twice the threshold, so that old evidence
+    /// does not outweigh a recovery.
     pub(crate) fn add(&mut self, class: Class, normal: [f64; 4], thresholds: Thresholds) {
         self.add_ratio(log_ratio(class, normal), thresholds);
     }
@@ -58,8 +58,8 @@
     }
 }
 
-/// The log-likelihood ratio of an outcome, sick against healthy; `normal` are the shares of the bad
-/// classes at healthy endpoints.
+/// The log-likelihood ratio (unhealthy against healthy) of an outcome; `normal` holds the shares of
+/// the bad classes at healthy endpoints.
 pub(crate) fn log_ratio(class: Class, normal: [f64; 4]) -> f64 {
     let sick = 1.0 - SICK_CLASSES * SICK_SHARE;
     match class {
