--- a/crates/policy/src/allowance.rs
+++ b/crates/policy/src/allowance.rs
@@ -1,13 +1,15 @@
 //! Allowances of organisations over the whole fleet, without shared state.
 //!
-//! One node owns the bucket of an organisation; rendezvous hashing over a few strong nodes names it. What accrues in a
-//! bucket rests on what nodes say, not on what the owner remembers: each node owns an equal share of every allowance and
-//! entrusts it to one owner at a time, by naming the owners that it asks. A bucket grows by the shares that are entrusted
-//! to its owner (`shares`). So the parts of a fleet that has fallen apart have a part of each allowance, a node that takes
-//! over begins with what nodes bring along, and two owners of one bucket have no more together than one.
+//! Each organisation has a token bucket at one owner node, which is chosen by rendezvous hashing
+//! among a few strong nodes. The refill of a bucket depends on what nodes report, not on what the
+//! owner remembers: each node holds an equal share of every allowance and delegates it to one set
+//! of owners at a time, by naming the owners that it asks. A bucket is refilled in proportion to
+//! the shares delegated to its owner (`shares`). Each side of a partitioned fleet therefore grants
+//! only its part of an allowance, an owner that takes over starts with an initial credit from the
+//! delegating nodes, and two owners of the same bucket together grant no more than one.
 //!
-//! It answers the load of one organisation that sends many times what it may while others, in the same moment, are at nine
-//! tenths of what they may: the one gets its rate, the others lose nothing.
+//! This handles an organisation that sends many times its allowance while others use nine tenths of
+//! theirs: the former gets its rate, the others lose nothing.
 
 mod bucket;
 mod shares;
@@ -22,42 +24,43 @@
 use bucket::Bucket;
 use shares::{Shares, Supply};
 
-/// Nodes that own buckets: few, so that each hears of most nodes by their asks alone, and more than one hot organisation
-/// needs.
+/// Number of nodes that own buckets. Few, so that each owner receives asks from most nodes often
+/// enough to know their shares; more than one, in case an organisation sends very many requests.
 pub const OWNERS: usize = 4;
-/// Buckets are kept for organisations that have asked in this time; a later ask finds the same as a first one.
+/// Buckets without an ask for this long are dropped. A later ask gets the same result from a new
+/// bucket.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// Names the nodes that own buckets.
+/// Rendezvous key that selects the nodes that own buckets.
 const OWNERS_KEY: u64 = 0x0a11_0a4c_e5ca_feed;
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Decision {
-    /// It may run.
+    /// The request may run.
     Granted,
-    /// Nobody knows yet how large the fleet is: ask again.
+    /// The size of the fleet is not known yet: ask again.
     NotYet,
     /// The allowance is used up.
     Exhausted {
-        /// When the next request may run. Until then asking is in vain.
+        /// Time until the next request may run. Asking earlier has no success.
         next: Duration,
-        /// When there is room for this one, behind those that were turned away before it.
+        /// Time until this request may run, after those that were refused before it.
         retry_after: Duration,
     },
 }
 
-/// What a node says when it entrusts its share.
+/// The message by which a node delegates its shares of all allowances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Entrusted {
-    /// The owners that it asks.
+    /// The owners that the node asks.
     pub owners: Vec<NodeId>,
-    /// Tells this life of its process from those before.
+    /// Distinguishes this process of the node from earlier ones.
     pub life: u32,
-    /// Whether it has started lately, and these are the first owners that it names to the one that hears it.
+    /// Whether the process started recently and names owners to this recipient for the first time.
     pub is_first: bool,
 }
 
-/// The nodes that own buckets, of `nodes` with their thousandths of a core.
+/// The nodes that own buckets, chosen from `nodes`, which are given with their millicores.
 pub fn owners(nodes: &[(NodeId, u32)]) -> Vec<NodeId> {
     let mut ranked = rank_strong_first(OWNERS_KEY, nodes);
     ranked.truncate(strong(nodes).count().min(OWNERS));
@@ -69,16 +72,16 @@
     rank(organisation, owners.iter().copied()).first().copied()
 }
 
-/// What an organisation has used, for reports.
+/// The state of one bucket, for reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BucketReport {
     /// Hash of the organisation's name.
     pub organisation: u64,
     /// Requests that may run now.
     pub left: f64,
-    /// Requests granted since the bucket was opened here.
+    /// Requests granted since the bucket was created here.
     pub granted: u64,
-    /// Requests refused since then.
+    /// Requests refused since the bucket was created here.
     pub refused: u64,
 }
 
@@ -92,7 +95,7 @@
 }
 
 impl Buckets {
-    /// Buckets of the node `me`, which knows of no other yet.
+    /// Creates the buckets of the node `me`, which knows no other node yet.
     pub fn new(me: NodeId) -> Self {
         Self {
             me,
@@ -102,12 +105,13 @@
         }
     }
 
-    /// Follows a change of the number of nodes in the fleet, this one and those that are silent included.
+    /// Applies a change of the number of nodes in the fleet. The number includes this node and
+    /// nodes that are not responding.
     pub fn set_nodes(&mut self, now: Time, nodes: usize) {
         self.shares.set_nodes(now, nodes);
     }
 
-    /// Takes in that `node` entrusts its share from now on.
+    /// Applies that `node` delegates its shares from now on.
     pub fn entrust(&mut self, now: Time, node: NodeId, it: &Entrusted) {
         self.shares.entrust(now, node, it);
     }
@@ -118,7 +122,7 @@
         bucket.ask(now, supply, allowance)
     }
 
-    /// The same while shares still come in: refuses nobody.
+    /// Like [`Self::ask`], but refuses nothing because not all shares may have been delegated yet.
     pub fn ask_early(&mut self, now: Time, organisation: u64, allowance: Allowance) -> Decision {
         let (bucket, supply) = self.bucket(now, organisation);
         match bucket.take(now, supply, allowance) {
@@ -134,7 +138,7 @@
         (bucket, supply)
     }
 
-    /// The buckets that were asked for lately.
+    /// The state of all buckets that are in use.
     pub fn report(&self) -> impl Iterator<Item = BucketReport> + '_ {
         self.buckets.iter().map(|(organisation, it)| it.report(*organisation))
     }
--- a/crates/policy/src/allowance/bucket.rs
+++ b/crates/policy/src/allowance/bucket.rs
@@ -1,4 +1,5 @@
-//! One organisation's bucket at its owner: a token bucket that grows by what nodes entrust.
+//! The token bucket of one organisation at its owner, refilled in proportion to the delegated
+//! shares.
 
 use std::time::Duration;
 
@@ -8,36 +9,41 @@
 use super::{BucketReport, Decision};
 use crate::time::Time;
 
-/// The rate is granted a little beyond its figure, so that an organisation that keeps to it is not refused for coming in
-/// clusters. The users count a quarter beyond it, and twenty, as kept in each window of five seconds; the rest of that is for
-/// shares that count at two owners until one of them notices.
+/// Factor on the granted rate, so that an organisation that keeps to its rate is not refused for
+/// sending in bursts. The availability target tolerates a quarter more, plus twenty requests, in
+/// each window of five seconds; the remaining margin covers shares that count at two owners until
+/// one of them learns of the change.
 const RATE: f64 = 1.02;
-/// Requests a second beyond that: a small organisation's come in clusters all the more.
+/// Requests a second granted in addition: the requests of a small organisation are more irregular.
 const RATE_EXTRA: f64 = 0.6;
-/// Requests at once beyond the burst.
+/// Capacity of the bucket beyond the burst.
 const EXTRA: f64 = 8.0;
-/// What a new owner is given: a part of the burst, and requests beyond it.
+/// Initial credit of a new owner, as a share of the burst.
 const BROUGHT_OF_BURST: f64 = 0.05;
+/// Initial credit of a new owner beyond that share, in requests.
 const BROUGHT: f64 = 9.0;
-/// What nodes that have just started bring along: a part of the burst, or of what a second grants where that is less, in
-/// place of the other part. No owner still counts their shares, so that there is more room for it; without it most
-/// requests would be refused in the first second after a return of the fleet.
+/// Initial credit from nodes that have just started, as a share of the burst or of the requests of
+/// one second, whichever is less. It replaces [`BROUGHT_OF_BURST`] and is larger because no other
+/// owner still counts the shares of these nodes; otherwise most requests would be refused in the
+/// first second after a restart of the fleet.
 const BROUGHT_FIRST: f64 = 0.5;
-/// Asking is said to be in vain for this long at most: a bucket that grows slowly may be entrusted with more at any time.
+/// Upper bound of the reported time without success: a slowly refilled bucket may be delegated
+/// further shares at any time.
 const MAX_IN_VAIN: Duration = Duration::from_millis(100);
-/// When to come back is worked out for this part of an allowance at least. With less an owner has just taken over, or stands in
-/// for a node that lost a few messages; neither lasts.
+/// Lower bound of the share of an allowance for which the time to the next grant is computed. With
+/// a smaller share, an owner has only just taken over, or the ask came from a node that lost a few
+/// messages; neither lasts.
 const MIN_PART: f64 = 0.25;
-/// Longest time after which one that was refused is asked to come back.
+/// Longest time after which a refused request is asked to come back.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug)]
 pub(super) struct Bucket {
     /// Requests that may run now.
     left: f64,
-    /// What was had of the supply.
+    /// The part of the supply that has already been added.
     had: Supply,
-    /// Until when the places of those that were refused reach.
+    /// When the last refused request may run.
     line: Time,
     asked: Time,
     granted: u64,
@@ -59,7 +65,8 @@
             Duration::from_secs_f64((requests / rate).min(MAX_RETRY_AFTER.as_secs_f64()))
         };
         let next = after(1.0 - self.left).min(MAX_IN_VAIN);
-        // Each gets a place of its own, so that they do not all come back for the same one.
+        // Each refused request is given a time of its own, so that they do not all come back at
+        // once.
         self.line = self.line.max(now + next).min(now + MAX_RETRY_AFTER) + after(1.0);
         let retry_after = self.line.since(now).min(MAX_RETRY_AFTER);
         Decision::Exhausted { next, retry_after }
@@ -100,7 +107,7 @@
     }
 }
 
-/// Requests a second by which a whole allowance grows.
+/// Requests a second by which an undivided allowance grows.
 fn grows(allowance: Allowance) -> f64 {
     allowance.rate_per_s * RATE + RATE_EXTRA
 }
--- a/crates/policy/src/allowance/shares.rs
+++ b/crates/policy/src/allowance/shares.rs
@@ -1,4 +1,4 @@
-//! The shares of allowances that nodes entrust to this one.
+//! The shares of allowances that nodes delegate to this node.
 
 use std::time::Duration;
 
@@ -8,16 +8,18 @@
 use crate::rendezvous::NodeId;
 use crate::time::Time;
 
-/// A share counts here for this long after its node was last heard: two messages in a row may be lost. It is what a
-/// bucket may have twice when a fleet falls apart, so it is short.
+/// A share counts for this long after the last message from its node, so that two lost messages in
+/// a row have no effect. During this time a bucket may receive the share at two owners when the
+/// fleet is partitioned, so the time is short.
 pub(super) const HELD_FOR: Duration = Duration::from_millis(1_500);
-/// A node brings something along to a new owner no more often than this.
+/// Minimum time between two initial credits from the same node.
 const BRINGS_EVERY: Duration = Duration::from_secs(5);
 
-/// What the nodes that are heard have entrusted, by the owners that they name. Most name the same ones.
+/// The shares delegated by responding nodes, grouped by the owners they name. Most nodes name the
+/// same owners.
 #[derive(Debug)]
 pub(super) struct Shares {
-    /// Nodes of the fleet.
+    /// Number of nodes in the fleet.
     nodes: usize,
     parts: Vec<Part>,
     holders: FxHashMap<NodeId, Holder>,
@@ -27,36 +29,37 @@
 #[derive(Debug)]
 struct Part {
     owners: Vec<NodeId>,
-    /// Seconds for which they have entrusted their shares, up to when each was last heard, in shares of the whole.
+    /// Seconds for which the nodes have delegated their shares, up to the last message of each, as
+    /// fractions of undivided allowances.
     seconds: f64,
-    /// What they have brought along, in shares of the whole.
+    /// Initial credits, as fractions of an undivided allowance.
     brought: f64,
-    /// The same for what they have brought when they had just started.
+    /// Initial credits from nodes that had just started, as fractions of an undivided allowance.
     brought_first: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
-    /// The life that has brought something when it had just started.
+    /// The process of the node that has given the initial credit of a just started node.
     first_life: Option<u32>,
     part: usize,
     heard: Time,
-    /// Up to then its time stands in its part.
+    /// Time up to which the delegated share is included in the group.
     counted_to: Time,
-    /// When it last brought something along.
+    /// When the node last gave an initial credit.
     brought: Time,
 }
 
-/// What a bucket has had until now. It only grows while the same nodes entrust it.
+/// The total supply of a bucket so far. It only grows while the same nodes delegate to the owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Supply {
-    /// Seconds of the whole allowance.
+    /// Seconds of the undivided allowance.
     pub(super) seconds: f64,
-    /// Wholes of what a new owner is given.
+    /// Initial credits, as fractions of an undivided one.
     pub(super) brought: f64,
-    /// Wholes of what nodes that have just started bring along.
+    /// Initial credits from nodes that have just started, as fractions of an undivided one.
     pub(super) brought_first: f64,
-    /// The part that is entrusted now.
+    /// The share of the allowance that is delegated now.
     pub(super) part: f64,
 }
 
@@ -65,7 +68,7 @@
         Self { nodes: 1, parts: Vec::new(), holders: FxHashMap::default() }
     }
 
-    /// Follows a change of the fleet's size; what has accrued before stays.
+    /// Applies a change of the fleet's size. Supply from before the change stays the same.
     pub(super) fn set_nodes(&mut self, now: Time, nodes: usize) {
         let nodes = nodes.max(self.holders.len()).max(1);
         if nodes != self.nodes {
@@ -74,6 +77,7 @@
         }
     }
 
+    /// Applies a delegation by `node`.
     pub(super) fn entrust(&mut self, now: Time, node: NodeId, it: &Entrusted) {
         let part = self.part(&it.owners);
         let known = self.holders.get(&node).copied();
@@ -99,7 +103,7 @@
         }
     }
 
-    /// What the bucket of an organisation has had here.
+    /// The supply of an organisation's bucket at this node.
     pub(super) fn supply(&self, now: Time, me: NodeId, organisation: u64) -> Supply {
         let is_mine = |it: &Part| owner_of(organisation, &it.owners) == Some(me);
         let is_mine: Vec<bool> = self.parts.iter().map(is_mine).collect();
@@ -117,13 +121,13 @@
         supply
     }
 
-    /// Drops nodes that are long gone.
+    /// Drops nodes that have not sent a message for long.
     pub(super) fn forget(&mut self, now: Time) {
         self.settle(now);
         self.holders.retain(|_, it| now.since(it.heard) < BRINGS_EVERY);
         let mut kept = vec![false; self.parts.len()];
         self.holders.values().for_each(|it| kept[it.part] = true);
-        // Where each part stands once those without holders are gone.
+        // The positions of the groups after those without nodes are dropped.
         let positions: Vec<usize> = kept
             .iter()
             .scan(0, |next, is_kept| Some(std::mem::replace(next, *next + usize::from(*is_kept))))
@@ -133,7 +137,7 @@
         self.parts.retain(|_| is_kept.next().unwrap_or(false));
     }
 
-    /// Adds what nodes have entrusted until now.
+    /// Adds the delegated time up to now to the groups.
     fn settle(&mut self, now: Time) {
         for it in self.holders.values_mut() {
             let held = it.uncounted(now);
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Position of the part of those that name `owners`.
+    /// Position of the group that names `owners`.
     fn part(&mut self, owners: &[NodeId]) -> usize {
         match self.parts.iter().position(|it| it.owners == owners) {
             Some(it) => it,
@@ -160,11 +164,12 @@
 }
 
 impl Holder {
+    /// Whether the share of the node counts now.
     fn is_held(&self, now: Time) -> bool {
         now.since(self.heard) < HELD_FOR
     }
 
-    /// Time for which its share counts, and has not been counted yet.
+    /// Time for which the share counts and is not yet included in the group.
     fn uncounted(&self, now: Time) -> Duration {
         now.min(self.heard + HELD_FOR).since(self.counted_to)
     }
