--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,10 +1,12 @@
-//! Bound on the sends of a service beyond the first of each request, over the whole fleet and any
-//! window of time, without any agreement between the nodes that grant them.
+//! Limit on the sends of a service beyond the first of each request. It holds for the whole fleet
+//! in every window of time, without agreement between the nodes that grant repeats.
 //!
-//! The bound is a share of the requests and a fixed part. The share needs no agreement: whoever grants a repeat
-//! counts the requests it has seen itself, and what they earn is spent soon or not at all (`credit`). The fixed part
-//! is split over the nodes that ask: each gives its part to one dispatching node, and to another one only when it has
-//! not asked that one for a window. However many nodes dispatch, their parts add up to no more than the whole.
+//! The limit is a ratio of the requests plus a fixed part. The ratio needs no agreement: each
+//! granting node counts the first sends that it has seen, and the repeats they earn are spent soon
+//! or expire (`credit`). The fixed part is split into equal shares, one for each asking node. A
+//! node assigns its share to one dispatching node at a time, and to another one only after it has
+//! not asked the previous one for a whole window. The shares of all dispatching nodes therefore
+//! never exceed the fixed part.
 
 mod credit;
 mod window;
@@ -21,35 +23,37 @@
 /// Size of a budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLimits {
-    /// Repeats for each request.
+    /// Repeats allowed for each request.
     pub ratio: f64,
-    /// Repeats of the whole fleet beyond that.
+    /// Repeats allowed for the whole fleet in addition.
     pub extra: f64,
-    /// Both hold for every stretch of this length.
+    /// Length of the sliding window in which both limits hold.
     pub window: Duration,
 }
 
-/// What a further send is for.
+/// The reason for a further send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spend {
-    /// The send before it has failed.
+    /// The previous send has failed.
     OnFailure,
-    /// The send before it is late.
+    /// The previous send is late.
     OnHedge,
 }
 
-/// Part of the ratio that is used: what was earned shortly before a window may be spent in it (`credit`).
+/// Fraction of the ratio that is used, because credit earned shortly before a window may be spent
+/// within it (`credit`).
 const RATIO_PART: f64 = 0.9;
-/// Part of the fixed bound that one granting node uses in a window.
+/// Fraction of the fixed part that one granting node uses in a window.
 const EXTRA_PART: f64 = 0.5;
-/// Times in a window that nodes which asked too long ago are forgotten.
+/// How often per window the nodes that have not asked for a whole window are dropped.
 const FORGET_TIMES: usize = 20;
-/// Part of the budget that hedges leave for what has failed.
+/// Fraction of the budget that hedges leave for repeats after failures.
 const KEPT_FOR_FAILURES: f64 = 0.4;
-/// Part of the budget below which it is short: a first send that fails may then be the last.
+/// Remaining fraction of the budget below which it is short: the first send of a request may then
+/// be its last.
 const SHORT: f64 = 0.35;
 
-/// One of the bounds on repeats: what it allows, and what is spent of that.
+/// One of the limits on repeats: the allowed and the spent number.
 #[derive(Clone, Copy, Debug)]
 struct Balance {
     allowed: f64,
@@ -57,7 +61,7 @@
 }
 
 impl Balance {
-    /// Whether one more fits if the part `kept` is left for others.
+    /// Whether one more repeat fits while the fraction `kept` is reserved.
     fn has_room(self, kept: f64) -> bool {
         self.spent + 1.0 <= self.allowed * (1.0 - kept)
     }
@@ -67,19 +71,19 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     limits: BudgetLimits,
-    /// Exact as long as one node grants.
+    /// Counts of the window; exact as long as a single node grants.
     window: Window,
-    /// Holds whoever grants.
+    /// Credit for repeats; effective with any number of granting nodes.
     credit: Credit,
-    /// Nodes whose part is spent here, and when they last asked.
+    /// Nodes that assign their share to this node, and when they last asked.
     askers: FxHashMap<NodeId, Time>,
-    /// Slice in which those that asked too long ago were last forgotten.
+    /// The slice in which outdated askers were last dropped.
     forgot_in: u64,
-    /// Nodes of the fleet, as far as they are known.
+    /// Number of known nodes in the fleet.
     nodes: usize,
-    /// Repeats that wait for a slot. They count as spent, and only when they go out they count in a
-    /// slice: counted while they waited, those of one window went out together with all that the next one
-    /// allows (167 where 140 are allowed, `tests/budget.rs`).
+    /// Repeats that wait for a slot. They count as spent, but enter a slice only when they are
+    /// sent. Counted in the slice in which they began to wait, the repeats of one window were sent
+    /// together with all that the next one allows (167 where 140 are allowed, `tests/budget.rs`).
     reserved: u32,
     first_total: u64,
     granted: u64,
@@ -95,15 +99,15 @@
     pub refused: u64,
     /// Repeats allowed in the window that ends now.
     pub allowed: f64,
-    /// Those spent in it.
+    /// Repeats spent in that window.
     pub spent: f64,
-    /// Repeats earned lately that may go out now.
+    /// Recently earned repeats that may be sent now.
     pub credit: f64,
-    /// First sends counted in it.
+    /// First sends in that window.
     pub first: u64,
-    /// Nodes that have asked in it.
+    /// Nodes that asked in that window.
     pub askers: usize,
-    /// First sends counted since the start.
+    /// First sends since the start.
     pub first_total: u64,
 }
 
@@ -124,17 +128,17 @@
         }
     }
 
-    /// Follows a change of its size.
+    /// Applies a change of the limits.
     pub fn set_limits(&mut self, now: Time, limits: BudgetLimits) {
         if limits.window != self.limits.window {
-            // Counts of slices of another length mean nothing.
+            // Counts of slices of another length are meaningless.
             self.window = Window::new(limits.window);
             self.credit = Credit::new(now, limits.window);
         }
         self.limits = limits;
     }
 
-    /// Follows a change of the fleet's size.
+    /// Applies a change of the fleet's size.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
@@ -146,7 +150,7 @@
         self.first_total += 1;
     }
 
-    /// Records that the part of `node` is spent here.
+    /// Records that `node` assigns its share to this node.
     pub fn hold_part(&mut self, now: Time, node: NodeId) {
         self.accrue(now);
         let before = self.part();
@@ -166,17 +170,18 @@
         is_allowed
     }
 
-    /// Keeps a part for a further send that waits for a slot.
+    /// Reserves a repeat for a further send that waits for a slot.
     pub fn reserve(&mut self) {
         self.reserved += 1;
     }
 
-    /// Gives that part back: the send goes out now, or never.
+    /// Cancels a reservation, because the send goes out now or never.
     pub fn give_back(&mut self) {
         self.reserved -= 1;
     }
 
-    /// Whether a further send for which a part is reserved may go out now: what it waited for may have lapsed.
+    /// Whether a further send with a reservation may still go out: the credit for it may have
+    /// expired while it waited.
     pub fn covers(&self, now: Time) -> bool {
         self.credit.balance(now, &self.limits, self.part()).has_room(0.0)
     }
@@ -189,7 +194,7 @@
         self.granted += 1;
     }
 
-    /// Whether so little is left that a send that fails may not be followed by another.
+    /// Whether so little is left that a failed first send may get no repeat.
     pub fn is_short(&mut self, now: Time) -> bool {
         !self.balances(now).iter().all(|it| it.has_room(SHORT))
     }
@@ -215,7 +220,7 @@
         }
     }
 
-    /// The bound on the window that ends now, and that on what was earned lately.
+    /// The limit of the window that ends now, and that of the recently earned credit.
     fn balances(&mut self, now: Time) -> [Balance; 2] {
         self.forget_askers(now);
         let (first, repeats) = self.window.counts(now);
@@ -230,17 +235,18 @@
         [window, credit]
     }
 
-    /// The part of the fixed bound that is spent here: that of the nodes that have asked.
+    /// The fraction of the fixed part that is spent here: the shares of the nodes that have asked.
     fn part(&self) -> f64 {
         (self.askers.len() as f64 / self.nodes as f64).min(1.0)
     }
 
+    /// Lets the credit from the fixed part accrue up to now.
     fn accrue(&mut self, now: Time) {
         let part = self.part();
         self.credit.accrue(now, &self.limits, part);
     }
 
-    /// Once a slice, because there may be hundreds of them.
+    /// Drops outdated askers, only once per slice because there may be hundreds of them.
     fn forget_askers(&mut self, now: Time) {
         let length = self.limits.window;
         let number = slice_number(now, length, FORGET_TIMES);
--- a/crates/policy/src/budget/credit.rs
+++ b/crates/policy/src/budget/credit.rs
@@ -1,12 +1,14 @@
-//! What first sends have earned for repeats and nobody has spent yet, at one granting node.
+//! Repeats earned by first sends and not yet spent, at one granting node.
 //!
-//! Each first send earns a share of a repeat at one node, to be spent there once and soon; the fixed part accrues with
-//! time. None of it outlives its process. So the repeats of a window are no more than what was earned in it and a
-//! moment before it, whoever grants them: after a change of the granting node, in a fleet in parts, after restarts.
+//! Each first send earns a fraction of a repeat at one node, which has to be spent there within a
+//! short time. Credit from the fixed part accrues with time. No credit survives a restart of its
+//! process. The repeats of a window are therefore limited by the credit earned within it and
+//! shortly before it, whichever nodes grant them: after a change of the granting node, in a
+//! partitioned fleet and after restarts.
 //!
-//! A count of the window alone does not give that, because only the node that counted knows it: with one change
-//! of the granting node in the middle of need 1,036 repeats went out where 641 are allowed, with a restart of all
-//! 1,026 (`fleet/tests/repeats.rs`).
+//! A count of the window alone does not have this property, because it is known only to the node
+//! that counted: a change of the granting node while repeats were needed led to 1,036 repeats where
+//! 641 are allowed, a restart of all nodes to 1,026 (`fleet/tests/repeats.rs`).
 
 use std::time::Duration;
 
@@ -14,20 +16,22 @@
 use super::{Balance, BudgetLimits, RATIO_PART};
 use crate::time::Time;
 
-/// Part of the window for which an earned share lasts. With the part of the ratio that is used, the repeats of a
-/// window stay within the ratio.
+/// Lifetime of earned credit, as a divisor of the window. Together with `RATIO_PART`, it keeps the
+/// repeats of a window within the ratio.
 const LIFETIME_PART: u32 = 10;
-/// Slices of the lifetime that are kept apart.
+/// Number of slices of the lifetime that are counted separately.
 const SLICES: usize = 5;
-/// Part of the fixed bound that accrues in a window.
+/// Fraction of the fixed part that accrues in a window.
 const EXTRA_ACCRUES: f64 = 0.4;
-/// Part of the fixed bound that may lie ready. A window can hold this and what accrues in it.
+/// Fraction of the fixed part that can be accumulated. A window can hold this amount and the one
+/// that accrues in it.
 const EXTRA_READY: f64 = 0.3;
-/// Part of the fixed bound that a node brings along when it gives its part to this one, so that a service that has
-/// just started is not without. What the other two leave pays for seven starts of the whole fleet in a window.
+/// Fraction of the fixed part that a node's share contributes at once when the node assigns the
+/// share to this one, so that a recently started service can repeat. What the other two fractions
+/// leave covers seven restarts of the whole fleet in a window.
 const EXTRA_BROUGHT: f64 = 0.04;
 
-/// What was earned in one slice, and what is left of it.
+/// The credit earned in one slice, and what is left of it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: u64,
@@ -35,7 +39,7 @@
     left: f64,
 }
 
-/// Earned and not spent.
+/// Credit that has been earned and not spent.
 #[derive(Clone, Debug)]
 pub(super) struct Credit {
     lifetime: Duration,
@@ -43,7 +47,7 @@
     extra: Extra,
 }
 
-/// The fixed part, at the moment when it was last worked out.
+/// The credit from the fixed part, as of `at`.
 #[derive(Clone, Copy, Debug)]
 struct Extra {
     at: Time,
@@ -62,7 +66,7 @@
         }
     }
 
-    /// A first send earns its share.
+    /// Adds the credit for a first send.
     pub(super) fn earn(&mut self, now: Time, limits: &BudgetLimits) {
         let number = self.number(now);
         let it = &mut self.slices[(number % SLICES as u64) as usize];
@@ -73,19 +77,20 @@
         it.left += limits.ratio * RATIO_PART;
     }
 
-    /// Lets the fixed part accrue, of which `part` is spent here.
+    /// Lets the credit from the fixed part accrue. The fraction `part` of the fixed part is spent
+    /// here.
     pub(super) fn accrue(&mut self, now: Time, limits: &BudgetLimits, part: f64) {
         self.extra = self.extra.after(now, limits, part);
     }
 
-    /// The part of the fixed bound that is spent here grows by `more`.
+    /// Applies that the fraction of the fixed part spent here grows by `more`.
     pub(super) fn bring(&mut self, limits: &BudgetLimits, more: f64) {
         let brought = limits.extra * EXTRA_BROUGHT * more;
         self.extra.ready += brought;
         self.extra.left += brought;
     }
 
-    /// What could be spent now if nothing had been, and how much of that is.
+    /// The credit that would be available if nothing had been spent, and how much of it is spent.
     pub(super) fn balance(&self, now: Time, limits: &BudgetLimits, part: f64) -> Balance {
         let earned: f64 = self.lasting(now).map(|it| it.earned).sum();
         let left: f64 = self.lasting(now).map(|it| it.left).sum();
@@ -94,7 +99,7 @@
         Balance { allowed, spent: allowed - left - extra.left }
     }
 
-    /// Pays for one repeat: what ends soonest goes first.
+    /// Pays for one repeat; the credit that expires first is used first.
     pub(super) fn spend(&mut self, now: Time) {
         let oldest = self.number(now).saturating_sub(SLICES as u64 - 1);
         let mut due = 1.0;
@@ -109,7 +114,8 @@
         self.extra.left -= due;
     }
 
-    /// Slices that still last. The present one is not full, so that a share lasts for a slice less at most.
+    /// Slices that have not expired. The current slice is not complete, so that credit expires up
+    /// to one slice early.
     fn lasting(&self, now: Time) -> impl Iterator<Item = &Slice> {
         let number = self.number(now);
         self.slices.iter().filter(move |it| it.number + SLICES as u64 > number)
@@ -121,6 +127,7 @@
 }
 
 impl Extra {
+    /// The credit at `now`.
     fn after(self, now: Time, limits: &BudgetLimits, part: f64) -> Self {
         let windows = now.since(self.at).as_secs_f64() / limits.window.as_secs_f64();
         let accrued = limits.extra * EXTRA_ACCRUES * part * windows;
--- a/crates/policy/src/budget/window.rs
+++ b/crates/policy/src/budget/window.rs
@@ -1,10 +1,10 @@
-//! First sends and repeats of the present window, at one granting node.
+//! First sends and repeats in the current window, at one granting node.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Slices of the window that are counted apart.
+/// Number of slices of the window that are counted separately.
 const SLICES: usize = 20;
 
 /// Counts of one slice of the window.
@@ -15,12 +15,12 @@
     repeats: u32,
 }
 
-/// Counts of a window that slides.
+/// Counts of a sliding window.
 #[derive(Clone, Debug)]
 pub(super) struct Window {
     length: Duration,
-    /// Slices by their number, modulo the length; one more than a window, because the present one is
-    /// not full.
+    /// Slices, indexed by their number modulo the length of the array. There is one more than in a
+    /// window because the current slice is not complete.
     slices: [Slice; SLICES + 1],
 }
 
@@ -55,14 +55,14 @@
         it
     }
 
-    /// The slice that `now` lies in.
+    /// The number of the slice that contains `now`.
     fn number(&self, now: Time) -> u64 {
         slice_number(now, self.length, SLICES)
     }
 }
 
-/// The number of the slice that `now` lies in, where `length` is cut in `slices`. Zero stands for one that was never
-/// used.
+/// The number of the slice that contains `now` when `length` is divided into `slices`. Zero marks
+/// an unused slice.
 pub(super) fn slice_number(now: Time, length: Duration, slices: usize) -> u64 {
     let slice = (length.as_micros() as u64 / slices as u64).max(1);
     now.0 / slice + 1
