--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -1,5 +1,6 @@
-//! Rate limits of endpoints, and what may be sent under them: those that endpoints in need name in their answers, and
-//! what their service says that one bears while it is cold.
+//! Rate limits of endpoints and the pacing of sends under them. Limits come from overloaded
+//! endpoints, which state them in their answers, and from the service, which states a rate for cold
+//! endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,17 +9,18 @@
 
 use crate::time::Time;
 
-/// Sends go on at this rate, in requests a second, under a lower limit: the end of a limit is told by answers alone.
+/// Lowest rate of sends, in requests a second, under any limit: only an answer can lift the limit.
 const LEAST_RATE: f64 = 0.25;
-/// A limit is passed on for this long after it was heard. While it holds, some answer names it again.
+/// A limit is passed on to other nodes for this long after the answer that stated it. While the
+/// limit lasts, later answers state it again.
 const PASSED_ON_FOR: Duration = Duration::from_secs(10);
 
-/// Requests a second that an endpoint takes from all nodes together.
+/// Requests a second that an endpoint accepts from all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 pub struct RateLimit(f64);
 
 impl RateLimit {
-    /// A limit in requests a second; nothing unless the number is finite and not negative.
+    /// A limit in requests a second; `None` unless the number is finite and not negative.
     pub fn from_per_second(it: f64) -> Option<Self> {
         (it.is_finite() && it >= 0.0).then_some(Self(it))
     }
@@ -28,50 +30,51 @@
         self.0
     }
 
-    /// Time between two sends where `sharers` dispatchers send under this limit.
+    /// Time between two sends of one dispatcher when `sharers` dispatchers send under this limit.
     fn interval(self, sharers: usize) -> Duration {
         Duration::from_secs_f64(sharers.max(1) as f64 / self.0.max(LEAST_RATE))
     }
 }
 
-/// A rate limit that the asker of a slot has heard of.
+/// A rate limit that the asker of a slot has observed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeardLimit {
     /// Address of the endpoint.
     pub endpoint: SocketAddr,
     /// The limit.
     pub limit: RateLimit,
-    /// Time since the answer that named it, in milliseconds.
+    /// Time since the answer that stated the limit, in milliseconds.
     pub age_ms: u32,
-    /// Time since the asker last sent there, in milliseconds.
+    /// Time since the asker last sent to the endpoint, in milliseconds.
     pub sent_ms: Option<u32>,
 }
 
-/// Spaces the sends of one dispatcher to one endpoint by its rate limit.
+/// Spaces the sends of one dispatcher to one endpoint according to its rate limit.
 ///
-/// A dispatcher that takes over from another one has no part in what that one has sent: no more than one send is ever saved
-/// up, and askers tell of their own sends.
+/// A dispatcher that takes over from another one does not know the sends of that one. Therefore at
+/// most one send is ever saved up, and askers report their own sends.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Pace {
-    /// The limit that it has named.
+    /// The limit that the endpoint has stated.
     limit: Option<RateLimit>,
-    /// What it bears while it is cold, and until when it is.
+    /// The rate for the cold endpoint, and until when it is cold.
     cold: Option<(RateLimit, Time)>,
-    /// When the latest answer came that speaks of a limit or of none.
+    /// When the latest answer arrived that stated a limit or the absence of one.
     heard: Option<Time>,
-    /// The latest send, as the rate of the limit counts it. The next one is due an interval later, whatever that is by then.
+    /// Scheduled time of the latest send under the limit. The next send is due one interval later,
+    /// with the interval of the limit that then applies.
     last: Time,
-    /// The latest send of this node itself.
+    /// The latest send by this node itself.
     sent: Option<Time>,
 }
 
 impl Pace {
-    /// The limit that it has named.
+    /// The limit that the endpoint has stated.
     pub(crate) fn limit(&self) -> Option<RateLimit> {
         self.limit
     }
 
-    /// The limit in force, wherever it comes from: the lower one.
+    /// The effective limit: the lower one of the stated limit and the rate for cold endpoints.
     pub(crate) fn bound(&self, now: Time) -> Option<RateLimit> {
         match (self.limit, self.cold_rate(now)) {
             (Some(named), Some(cold)) if cold < named => Some(cold),
@@ -84,11 +87,12 @@
         self.cold_rate(now).is_some()
     }
 
+    /// The rate for the endpoint while it is cold.
     fn cold_rate(&self, now: Time) -> Option<RateLimit> {
         self.cold.filter(|(_, until)| now < *until).map(|(rate, _)| rate)
     }
 
-    /// The endpoint is cold until then.
+    /// Marks the endpoint as cold until `until`.
     pub(crate) fn chill(&mut self, now: Time, rate: RateLimit, until: Time) {
         if self.bound(now).is_none() {
             self.last = now;
@@ -96,17 +100,19 @@
         self.cold = Some((rate, until));
     }
 
-    /// The endpoint says that it is warm.
+    /// Marks the endpoint as warm.
     pub(crate) fn warm(&mut self) {
         self.cold = None;
     }
 
-    /// Slots that sends at the rate of the limit keep busy for `hold` each, if there is one.
+    /// Number of slots kept busy by sends at the rate of the limit, each for `hold`; `None` without
+    /// a limit.
     pub(crate) fn slots(&self, now: Time, hold: Duration) -> Option<f64> {
         self.bound(now).map(|it| it.per_second() * hold.as_secs_f64())
     }
 
-    /// Takes in what an answer said at `heard`, unless something later is known. Returns whether it changes the limit.
+    /// Applies what an answer that arrived at `heard` stated, unless a later answer is known.
+    /// Returns whether the limit changes.
     pub(crate) fn hear(&mut self, now: Time, heard: Time, limit: Option<RateLimit>) -> bool {
         if self.heard.is_some_and(|it| it > heard) {
             return false;
@@ -124,7 +130,7 @@
         self.bound(now).is_none_or(|it| now >= self.last + it.interval(sharers))
     }
 
-    /// A send goes out.
+    /// Records a send.
     pub(crate) fn sent(&mut self, now: Time, sharers: usize) {
         self.sent = Some(now);
         if let Some(limit) = self.bound(now) {
@@ -133,17 +139,17 @@
         }
     }
 
-    /// A send of this node went out on the word of another dispatcher.
+    /// Records a send by this node for which another dispatcher granted the slot.
     pub(crate) fn sent_elsewhere(&mut self, now: Time) {
         self.sent = Some(now);
     }
 
-    /// An asker has sent there at `sent`, on whoever's word.
+    /// Records a send by an asker at `sent`, whichever dispatcher granted the slot.
     pub(crate) fn asker_sent(&mut self, sent: Time) {
         self.last = self.last.max(sent);
     }
 
-    /// What is told of the limit of the endpoint at `endpoint`.
+    /// The stated limit in the form passed on to other nodes; `None` if it is too old.
     pub(crate) fn told(&self, now: Time, endpoint: SocketAddr) -> Option<HeardLimit> {
         let (limit, age) = (self.limit?, now.since(self.heard?));
         let ms = |it: Duration| it.as_millis() as u32;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,5 +1,5 @@
-//! Whether a request may be sent again. The rules of `Repeat` are absolute; `budget` bounds how much
-//! more work the repeats of all requests bring to a service.
+//! Whether a request may be sent again. The rules of `Repeat` are absolute; `budget` limits how
+//! much load the repeats of all requests add to a service.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 /// How a send ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer arrived whole.
+    /// The complete answer arrived.
     Answered,
     /// The upstream provably did not run the request.
     NotRun,
-    /// It may or may not have run.
+    /// The upstream may have run the request.
     Unknown,
 }
 
-/// What has happened to a request so far.
+/// The state of a request before the decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// The route's rule.
+    /// The route's rule for repeats.
     pub repeat: Repeat,
-    /// Whether any earlier send ended as unknown.
+    /// Whether any earlier send ended as [`Outcome::Unknown`].
     pub unknown_before: bool,
-    /// Endpoints that the request has reached so far.
+    /// Number of endpoints that the request has reached so far.
     pub sends: u32,
-    /// Endpoints that it may reach at most.
+    /// Maximum number of endpoints that the request may reach.
     pub max_sends: u32,
     /// Time left until the deadline.
     pub left: Duration,
@@ -34,9 +34,9 @@
 /// What to do after a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Give the answer to the caller.
+    /// Deliver the answer to the caller.
     Deliver,
-    /// Send it once more.
+    /// Send the request again.
     Again,
     /// Give up and tell the caller that the request did not run.
     GiveUpNotRun,
@@ -44,8 +44,8 @@
     GiveUpUnknown,
 }
 
-/// Decides what follows a send that ended with `outcome`. Whether the service's budget allows one
-/// more send is for the dispatcher to say.
+/// Decides what follows a send that ended with `outcome`. The dispatcher decides separately whether
+/// the service's budget allows another send.
 pub fn next_step(outcome: Outcome, attempt: Attempt) -> Next {
     let unknown = attempt.unknown_before || outcome == Outcome::Unknown;
     let allowed = match (attempt.repeat, outcome) {
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -1,10 +1,11 @@
-//! Requests that may be what ends the endpoints which run them.
+//! Detection of requests that crash the endpoints that process them.
 //!
-//! One crash under a request proves little: the endpoint may have ended for a reason of its own, or under another
-//! request that was open beside. Three in a row with nothing else in between are the request's doing. In a row means
-//! that each send began after the crash before it was known, so that the many copies of an often asked request that a
-//! failing rack ends in one moment count once. A whole answer clears the request, since one that crashes endpoints
-//! gets none.
+//! A single crash proves little: the endpoint may have crashed for its own reasons or because of
+//! another request that was open at the same time. Three consecutive crashes, without an answer in
+//! between, are attributed to the request. Crashes are consecutive if each send began after the
+//! previous crash was known; copies of a frequent request that end together when a rack fails
+//! therefore count once. A complete answer clears the request, because a request that crashes
+//! endpoints gets none.
 
 use std::time::Duration;
 
@@ -13,70 +14,70 @@
 
 use crate::time::Time;
 
-/// Crashes in a row after which a request is rejected.
+/// Consecutive crashes after which a request is rejected.
 const CRASHES: u32 = 3;
-/// How long a request is rejected the first time. Then one send tries it, because a new release of the service may
-/// bear it; each time that fails the time doubles.
+/// How long a request is rejected the first time. After that one send is allowed, because a new
+/// release of the service may handle the request; each further crash doubles the time.
 const REJECTED_FOR: Duration = Duration::from_secs(120);
-/// Longest such time, as doublings of the first: about an hour.
+/// Maximum number of doublings, which limits the rejection to about an hour.
 const MAX_DOUBLINGS: u32 = 5;
-/// Crashes further apart than this have nothing to do with each other.
+/// Crashes further apart than this are unrelated.
 const SUSPECTED_FOR: Duration = Duration::from_secs(600);
-/// Requests that are remembered. Those with the fewest crashes are forgotten first, then those whose last crash is
-/// longest ago.
+/// Maximum number of suspect requests. Those with the fewest crashes are dropped first, among them
+/// those with the oldest last crash.
 const MAX_SUSPECTS: usize = 1024;
-/// How long a request that was answered is above suspicion: what an often asked one met is not its doing.
+/// How long an answered request is exempt: a frequent request meets crashes that it did not cause.
 const ANSWERED_FOR: Duration = Duration::from_secs(10);
-/// Answered requests that are remembered, twice at most; of more some come under suspicion without need, until they
-/// are answered again.
+/// Answered requests that are remembered, at most twice this number. Beyond that, some requests
+/// lose the exemption until they are answered again.
 const MAX_ANSWERED: usize = 4096;
 
-/// What makes two requests the same one for an endpoint: a hash of method, host, path, caller and body that is equal
-/// on every node.
+/// Identifies identical requests: a hash of method, host, path, caller and body that is equal on
+/// every node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestKey(pub u64);
 
-/// How a send ended, as far as it speaks for or against its request.
+/// How a send ended, as evidence for or against its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// With a whole answer.
+    /// With a complete answer.
     Answered,
     /// The endpoint's process ended.
     Crashed,
 }
 
-/// A request that crashes endpoints, and for how long nobody sends it.
+/// A request that crashes endpoints, and how long it is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
     /// The request.
     pub request: RequestKey,
-    /// Milliseconds left.
+    /// Time left, in milliseconds.
     pub valid_ms: u32,
 }
 
-/// What crashes say against one request.
+/// The crashes attributed to one request.
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
-    /// In a row.
+    /// Consecutive crashes.
     crashes: u32,
-    /// When the last of them was known.
+    /// When the last crash became known.
     known_at: Time,
     rejected_until: Time,
-    /// Times that it was rejected.
+    /// How often the request was rejected.
     rejections: u32,
 }
 
-/// The suspects that one dispatcher knows.
+/// The suspect requests known to one dispatcher.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspects {
     by_key: FxHashMap<RequestKey, Suspect>,
     answered: Answered,
-    /// Rejections since they were last taken.
+    /// Rejections since the last call of `take_news`.
     news: Vec<Rejection>,
 }
 
 impl Suspects {
-    /// Records that the process of an endpoint ended under a request that was sent at `sent`.
+    /// Records that an endpoint's process ended under a request that was sent at `sent`.
     pub(crate) fn crashed(&mut self, now: Time, request: RequestKey, sent: Time) {
         if self.answered.has(now, request) {
             return;
@@ -97,13 +98,13 @@
         self.news.push(Rejection { request, valid_ms: length.as_millis() as u32 });
     }
 
-    /// Records a whole answer.
+    /// Records a complete answer.
     pub(crate) fn answered(&mut self, now: Time, request: RequestKey) {
         self.by_key.remove(&request);
         self.answered.note(now, request);
     }
 
-    /// Takes in a rejection by another node; returns whether it was not known.
+    /// Applies a rejection by another node; returns whether the rejection was unknown here.
     pub(crate) fn reject(&mut self, now: Time, it: Rejection) -> bool {
         let until = now + Duration::from_millis(it.valid_ms.into());
         let suspect = self.entry(now, it.request);
@@ -119,27 +120,28 @@
         (now < until).then(|| until.since(now))
     }
 
-    /// Whether an endpoint has ended under a request that may be sent.
+    /// Whether an endpoint has crashed under a request, which may still be sent.
     pub(crate) fn is_watched(&self, request: RequestKey) -> bool {
         self.by_key.contains_key(&request)
     }
 
-    /// Requests that are remembered.
+    /// Number of suspect requests.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Rejections by this dispatcher since the last call.
+    /// Returns the rejections by this dispatcher since the last call.
     pub(crate) fn take_news(&mut self) -> Vec<Rejection> {
         std::mem::take(&mut self.news)
     }
 
-    /// Forgets crashes that nothing has followed.
+    /// Drops requests whose last crash is long ago.
     pub(crate) fn tick(&mut self, now: Time) {
         self.by_key.retain(|_, it| now.since(it.known_at.max(it.rejected_until)) < SUSPECTED_FOR);
     }
 
+    /// The entry of a request, created if missing.
     fn entry(&mut self, now: Time, request: RequestKey) -> &mut Suspect {
         if self.by_key.len() >= MAX_SUSPECTS && !self.by_key.contains_key(&request) {
             let least = self.by_key.iter().min_by_key(|(_, it)| (it.crashes, it.known_at));
@@ -157,7 +159,7 @@
 }
 
 impl Suspect {
-    /// After `until` one more crash rejects it again.
+    /// Rejects the request until `until`. One further crash after that rejects it again.
     fn reject(&mut self, until: Time) {
         self.rejected_until = until;
         self.crashes = CRASHES - 1;
@@ -165,7 +167,7 @@
     }
 }
 
-/// Requests that were answered lately: those of the last period, and those of the one before.
+/// Recently answered requests: those of the current period and of the previous one.
 #[derive(Clone, Debug, Default)]
 struct Answered {
     since: Time,
@@ -174,6 +176,7 @@
 }
 
 impl Answered {
+    /// Records an answered request.
     fn note(&mut self, now: Time, request: RequestKey) {
         if now.since(self.since) >= ANSWERED_FOR || self.last.len() >= MAX_ANSWERED {
             self.before = std::mem::take(&mut self.last);
@@ -182,6 +185,7 @@
         self.last.insert(request);
     }
 
+    /// Whether a request was answered recently.
     fn has(&self, now: Time, request: RequestKey) -> bool {
         let is_old = now.since(self.since) >= ANSWERED_FOR * 2;
         !is_old && (self.last.contains(&request) || self.before.contains(&request))
