--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision: a slot asked for and given back, by number of endpoints.
+//! Cost of one decision, a slot requested and released, by number of endpoints.
 
 use std::time::Duration;
 
@@ -62,8 +62,8 @@
     }
 }
 
-/// A slot comes free while requests wait and much of what is free is doubtful: one node hands out the slots of
-/// a service and has half a thousand requests in its queue.
+/// A slot becomes free while requests wait and many endpoints with free slots are unlikely to be
+/// healthy. One node dispatches the service and has 500 requests in its queue.
 fn release_to_a_queue(c: &mut Criterion) {
     let mut group = c.benchmark_group("release to a queue");
     for endpoints in [99, 432, 3_592] {
@@ -99,7 +99,7 @@
     });
 }
 
-/// A thousand requests come in a second.
+/// A thousand requests arrive per second.
 fn ask_and_release(c: &mut Criterion) {
     let mut group = c.benchmark_group("ask and release");
     for (endpoints, routes) in
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,10 @@
-//! Every decision about requests and endpoints, without I/O: which endpoint gets a request, whether
-//! it waits, is refused, sent again or hedged, and which endpoints are ejected and readmitted.
+//! Decisions about requests and endpoints, without I/O: which endpoint serves a request, whether
+//! the request waits, is refused, repeated or hedged, and which endpoints are ejected and
+//! readmitted.
 //!
-//! Time, randomness and messages are arguments, so the code that serves traffic is also the code
-//! that the model check and the property tests drive. This crate must not know tokio, sockets or a
-//! wall clock.
+//! Time, randomness and messages are passed as arguments, so the model check and the property tests
+//! run the same code that serves traffic. This crate must not depend on tokio, sockets or a wall
+//! clock.
 
 mod allowance;
 mod baseline;
--- a/crates/policy/src/notice.rs
+++ b/crates/policy/src/notice.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself in the head of an answer.
+//! Information that an endpoint gives about itself in the head of an answer.
 
 use std::time::Duration;
 
@@ -6,13 +6,14 @@
 
 use crate::rate_limit::RateLimit;
 
-/// What an endpoint says of itself in an answer.
+/// Information that an endpoint gives about itself in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Notice {
-    /// It takes so much from all nodes together, or as much as it has slots for.
+    /// The total request rate that the endpoint accepts from all nodes; `None` if it is limited
+    /// only by its slots.
     RateLimit(Option<RateLimit>),
-    /// It leaves and wants no new work.
+    /// The endpoint is leaving and accepts no new requests.
     Leaving,
-    /// It wants nothing from the node that sent to it for so long.
+    /// The node that received the answer shall send the endpoint nothing for this long.
     Rest(Duration),
 }
--- a/crates/policy/src/observation.rs
+++ b/crates/policy/src/observation.rs
@@ -1,4 +1,4 @@
-//! What a node tells of a request: how it ended, where, and who saw it.
+//! The observed outcome of a request, as one node reports it to another.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 
 use crate::rendezvous::NodeId;
 
-/// How a request ended, as far as the reporter can tell without comparison.
+/// How a request ended, as far as the reporter can tell without a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// A whole answer.
+    /// A complete answer.
     Answered,
-    /// Still open, or a body that has stopped moving, after the time that was asked for.
+    /// Still open, or a body without progress, after the requested time.
     Stalled,
     /// Connection lost, answer broken off, or a server error.
     Failed,
@@ -21,7 +21,7 @@
     Unreachable,
     /// Refused before any work because the endpoint is full.
     Shed,
-    /// Given up by the reporter's own side while it was still open, as when the caller has left.
+    /// Given up by the reporter's side while still open, as when the caller has disconnected.
     Abandoned,
     /// Given up because a hedge that was sent later was answered first.
     Beaten,
@@ -36,27 +36,27 @@
     }
 }
 
-/// Who observed an outcome.
+/// The observer of an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reporter {
     /// The node.
     pub node: NodeId,
-    /// Hash of its failure domain.
+    /// Hash of the node's failure domain.
     pub failure_domain: u64,
 }
 
-/// One outcome of real work.
+/// One observed outcome of a real request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Who observed it.
+    /// The observer.
     pub reporter: Reporter,
-    /// Position of the endpoint in the rotation of whoever takes it in.
+    /// Position of the endpoint in the rotation of the recipient.
     #[serde(skip)]
     pub endpoint: usize,
     /// Hash of the route's name.
     pub route: u32,
-    /// How it ended.
+    /// How the request ended.
     pub kind: Kind,
-    /// Time from the send to the outcome, or, of a silence, its length.
+    /// Time from the send to the outcome; for an unanswered request, how long it was open.
     pub elapsed: Duration,
 }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,44 +1,45 @@
-//! The short queue of requests that wait for a slot: interactive work first, then the organisation
-//! that has had the least of its share, then the oldest.
+//! The short queue of requests that wait for a slot. The order is by priority, then by the weighted
+//! service that the organisation has received (least first), then by age.
 
 use rustc_hash::FxHashMap;
 
 use crate::time::Time;
 use resources::Priority;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting<T> {
-    /// What to give a slot to.
+    /// The request itself.
     pub(crate) item: T,
-    /// Its priority.
+    /// Priority of the request.
     pub(crate) priority: Priority,
-    /// Hash of its organisation.
+    /// Hash of the organisation.
     pub(crate) organisation: u64,
-    /// Weight of its organisation, at least 1.
+    /// Weight of the organisation, at least 1.
     pub(crate) weight: u32,
-    /// After this it is given up.
+    /// When the request is given up.
     pub(crate) deadline: Time,
 }
 
-/// A bounded queue with fair shares.
+/// A queue of requests that is fair among organisations.
 #[derive(Debug)]
 pub(crate) struct Queue<T> {
     waiting: Vec<Waiting<T>>,
-    /// Service received by each organisation that waits, in slots divided by weight.
+    /// Service received by each waiting organisation, in slots divided by weight.
     served: FxHashMap<u64, f64>,
-    /// Service of the organisation that was served last: newcomers start from here.
+    /// Service of the organisation that was served last; organisations without recorded service
+    /// start from here.
     clock: f64,
 }
 
-/// Where a request stands: by priority, by what its organisation has had, by age.
+/// Sort key of a request: priority, service received by the organisation, position.
 type Order = (Priority, f64, usize);
 
 fn compare(a: &Order, b: &Order) -> std::cmp::Ordering {
     a.partial_cmp(b).expect("no NaN")
 }
 
-/// Most organisations whose past service is remembered.
+/// Maximum number of organisations whose past service is remembered.
 const MAX_REMEMBERED: usize = 4_096;
 
 impl<T> Queue<T> {
@@ -54,12 +55,12 @@
         self.waiting.iter().any(|it| is(&it.item))
     }
 
-    /// Requests that would be served before one of this priority.
+    /// Number of requests that would be served before one of this priority.
     pub(crate) fn ahead_of(&self, priority: Priority) -> usize {
         self.waiting.iter().filter(|it| it.priority <= priority).count()
     }
 
-    /// Requests that wait, by priority. There are few priorities.
+    /// Waiting requests by priority. There are few priorities.
     pub(crate) fn count_by_priority(&self) -> Vec<(Priority, usize)> {
         let mut counts: Vec<(Priority, usize)> = Vec::new();
         for waiting in &self.waiting {
@@ -75,8 +76,9 @@
         self.waiting.push(it);
     }
 
-    /// The position of the next request among those that `fits`. It is asked only of those that go before the
-    /// best that was found, because that is dear; usually the first in order fits.
+    /// The position of the next request among those for which `fits` holds. `fits` is expensive, so
+    /// it is called only for requests ahead of the best match so far; usually the first request
+    /// fits.
     pub(crate) fn best<'a>(&'a self, mut fits: impl FnMut(&'a T) -> bool) -> Option<usize> {
         let orders: Vec<_> = (0..self.waiting.len()).map(|i| self.order(i)).collect();
         let first = (0..orders.len()).min_by(|a, b| compare(&orders[*a], &orders[*b]))?;
@@ -98,7 +100,7 @@
         &self.waiting[i].item
     }
 
-    /// Takes the request at a position and accounts for its organisation.
+    /// Removes the request at a position and accounts for the service to its organisation.
     pub(crate) fn take(&mut self, i: usize) -> Waiting<T> {
         let it = self.waiting.remove(i);
         self.account(&it);
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -1,5 +1,5 @@
-//! Rendezvous hashing: every node that knows the same peers names the same owner, without any
-//! agreement (Thaler and Ravishankar, 1998).
+//! Rendezvous hashing: all nodes that know the same peers select the same owner without
+//! coordination (Thaler and Ravishankar, 1998).
 
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
 pub struct NodeId(pub u64);
 
 /// A hash of `buf` that is equal on every node and in every version (FNV-1a, 64 bits, with a final
-/// mix because FNV alone leaves the high bits of short keys alike).
+/// mixing step because FNV alone leaves the high bits of short keys similar).
 pub fn stable_hash(buf: &[u8]) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -18,15 +18,16 @@
     mix(hash)
 }
 
-/// Orders `nodes` by their rank for `key`; the first one owns it, the next ones succeed it.
+/// Orders `nodes` by their rank for `key`: the first one is the owner, the others are its
+/// successors.
 pub fn rank(key: u64, nodes: impl IntoIterator<Item = NodeId>) -> Vec<NodeId> {
     let mut ranked: Vec<_> = nodes.into_iter().map(|it| (mix(key ^ mix(it.0)), it)).collect();
     ranked.sort_unstable_by(|a, b| b.cmp(a));
     ranked.into_iter().map(|(_, it)| it).collect()
 }
 
-/// The same with strong nodes before weak ones. A node counts as strong if it has more than half of the
-/// processor of the strongest; each comes with its thousandths of a core.
+/// Like [`rank`], with strong nodes before weak ones. Each node is given with its millicores; a
+/// node is strong if it has more than half of the millicores of the strongest one.
 pub fn rank_strong_first(key: u64, nodes: &[(NodeId, u32)]) -> Vec<NodeId> {
     let is_strong = is_strong(nodes);
     let (strong, weak): (Vec<_>, Vec<_>) = nodes.iter().partition(|it| is_strong(it));
@@ -36,7 +37,7 @@
     ranked
 }
 
-/// The strong ones of `nodes`.
+/// The strong nodes among `nodes`.
 pub(crate) fn strong(nodes: &[(NodeId, u32)]) -> impl Iterator<Item = NodeId> + '_ {
     let is_strong = is_strong(nodes);
     nodes.iter().filter(move |it| is_strong(it)).map(|(id, _)| *id)
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,9 +1,9 @@
-//! Monotonic time as an argument.
+//! Monotonic time, passed as an argument.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Microseconds since an arbitrary start of this process; never sent to other nodes.
+/// Microseconds since an arbitrary start in this process; never sent to other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
@@ -13,7 +13,7 @@
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The same in seconds, without the divisions that a `Duration` takes.
+    /// Seconds since `earlier`, without the divisions of a `Duration`.
     pub(crate) fn seconds_since(self, earlier: Time) -> f64 {
         self.0.saturating_sub(earlier.0) as f64 * 1e-6
     }
--- a/crates/policy/src/topology.rs
+++ b/crates/policy/src/topology.rs
@@ -1,4 +1,4 @@
-//! Which failure domain is in which region, and how far apart two of them are.
+//! Regions of failure domains, and the distance between two failure domains.
 
 use std::sync::Arc;
 
@@ -7,16 +7,16 @@
 
 use crate::rendezvous::stable_hash;
 
-/// The region of each failure domain, both by the hashes of their names.
+/// The region of each failure domain, both as hashes of their names.
 #[derive(Clone, Debug, Default)]
 pub struct Topology(Arc<FxHashMap<u64, u64>>);
 
-/// How far an endpoint is from the node that sends there.
+/// Distance of an endpoint from the node that sends to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
     /// In the same failure domain.
     Near,
-    /// In another one of the same region, or of a region that is not known.
+    /// In another failure domain of the same region, or of an unknown region.
     SameRegion,
     /// In another region.
     OtherRegion,
@@ -28,20 +28,20 @@
 }
 
 impl Topology {
-    /// Failure domains with their regions.
+    /// A topology of pairs of failure domain and region.
     pub fn new<'a>(all: impl Iterator<Item = (&'a str, &'a str)>) -> Self {
         let hash = |it: &str| stable_hash(it.as_bytes());
         Self(Arc::new(all.map(|(domain, region)| (hash(domain), hash(region))).collect()))
     }
 
-    /// Hashes of the failure domains that are in one of these regions.
+    /// Hashes of the failure domains in any of these regions.
     pub fn domains_in(&self, regions: &[Name]) -> Vec<u64> {
         let regions: Vec<u64> = regions.iter().map(|it| stable_hash(it.as_bytes())).collect();
         let inside = self.0.iter().filter(|(_, region)| regions.contains(region));
         inside.map(|(domain, _)| *domain).collect()
     }
 
-    /// Whether two failure domains are in one region, as far as that is known.
+    /// Whether two failure domains are in the same region. An unknown region counts as the same.
     pub fn is_same_region(&self, a: u64, b: u64) -> bool {
         match (self.region_of(a), self.region_of(b)) {
             (Some(a), Some(b)) => a == b,
