--- a/crates/policy/src/tests.rs
+++ b/crates/policy/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, driven without I/O.
+//! Unit tests of the decisions, without I/O.
 
 mod allowance;
 mod budget;
--- a/crates/policy/src/tests/allowance.rs
+++ b/crates/policy/src/tests/allowance.rs
@@ -1,4 +1,5 @@
-//! Allowances in a fleet in virtual time: what users count in each window, and what organisations get of their rate.
+//! Allowances in a simulated fleet: requests granted in each window, and the share of its rate that
+//! each organisation gets.
 
 use std::time::Duration;
 
@@ -11,42 +12,42 @@
 use crate::{Buckets, Decision, Entrusted, NodeId, Time, owner_of, owners};
 
 const MS: u64 = 1_000;
-/// Length of the windows that users count, in microseconds.
+/// Length of the windows of the availability target, in microseconds.
 const WINDOW: u64 = 5_000 * MS;
-/// How often a node says whom it entrusts its share to.
+/// Interval at which a node delegates its share.
 const HEARTBEAT: u64 = 500 * MS;
-/// A node that does not answer is passed over for this long.
+/// How long a node that does not answer is skipped.
 const PASS_OVER: u64 = 1_000 * MS;
-/// A fleet that starts knows its size after this.
+/// Time after which a starting fleet knows its size.
 const FOUND_ALL: u64 = 600 * MS;
 
-/// What goes wrong, and when.
+/// A fault and its effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// These nodes end and are back after a while.
+    /// These nodes are killed and restart after `down`.
     Kill { from: usize, to: usize, down: u64 },
-    /// These nodes and the others do not reach each other for a while.
+    /// These nodes and the others cannot reach each other.
     Split { from: usize, to: usize, length: u64 },
-    /// Each of these nodes reaches nobody for a while.
+    /// Each of these nodes is isolated.
     Alone { from: usize, to: usize, length: u64 },
-    /// These nodes stand still for a while and remember all.
+    /// These nodes are paused and keep their state.
     Freeze { from: usize, to: usize, length: u64 },
-    /// The allowances of all organisations are multiplied.
+    /// The allowances of all organisations are multiplied by this factor.
     Limit(f64),
 }
 
-/// One organisation and what it sends.
+/// An organisation and its traffic.
 #[derive(Clone, Copy, Debug)]
 struct Organisation {
     rate: f64,
     burst: f64,
-    /// Requests a second that it sends.
+    /// Requests sent per second.
     sends: f64,
-    /// All come to this node; otherwise to any.
+    /// The node that receives all requests; otherwise any node.
     at: Option<usize>,
 }
 
-/// A case.
+/// A simulated scenario.
 #[derive(Clone, Debug)]
 struct Case {
     nodes: usize,
@@ -54,29 +55,29 @@
     strong: usize,
     organisations: Vec<Organisation>,
     faults: Vec<(u64, Fault)>,
-    /// Share of heartbeats that are lost.
+    /// Share of lost heartbeats.
     lost: f64,
-    /// When the first requests come.
+    /// When the first requests arrive.
     traffic_from: u64,
     length: u64,
 }
 
 struct Node {
     buckets: Buckets,
-    /// Nothing while it is down.
+    /// Start of the process; `None` while it is down.
     started: Option<u64>,
-    /// Lives before this one.
+    /// Number of earlier processes.
     lives: u32,
-    /// The first owners of this life that were named once the fleet was known.
+    /// The first owners named by this process after the fleet was known.
     first: Option<Vec<NodeId>>,
-    /// The owners that were named last.
+    /// The owners named last.
     named: Vec<NodeId>,
     frozen_until: u64,
     group: usize,
     passed_over: Vec<u64>,
 }
 
-/// What became of the requests of one organisation: when they came, and whether they ran.
+/// When the requests of one organisation arrived, and whether they ran.
 type Requests = Vec<(u64, bool)>;
 
 struct Fleet {
@@ -129,7 +130,7 @@
         self.nodes[i].started.is_some_and(|at| now >= at + FOUND_ALL || at == 0)
     }
 
-    /// Tells owners that are named no more, and the own buckets.
+    /// Notifies owners that are no longer named, and the node's own buckets.
     fn leave_former(&mut self, now: u64, i: usize, lost: f64) {
         let owners = self.owners(now, i);
         if self.nodes[i].named == owners {
@@ -177,7 +178,7 @@
         buckets.entrust(Time(now), NodeId(from as u64), &entrusted);
     }
 
-    /// Whether a request of an organisation that comes to node `i` may run.
+    /// Whether a request of an organisation that arrives at node `i` may run.
     fn request(&mut self, now: u64, i: usize, id: u64, it: &Organisation) -> bool {
         if self.nodes[i].started.is_none() || now < self.nodes[i].frozen_until {
             return false;
@@ -197,7 +198,7 @@
             let decision = buckets.ask(Time(now), id, Allowance { rate_per_s, burst });
             return decision == Decision::Granted;
         }
-        // Nobody answers: this node alone has its own share.
+        // No owner answers: this node is the only owner and has its own share.
         if !self.knows(now, i) {
             return false;
         }
@@ -256,7 +257,7 @@
     }
 }
 
-/// Plays a case; returns what became of each organisation's requests.
+/// Runs a scenario; returns the requests of each organisation.
 fn play(case: &Case, seed: u64) -> Vec<Requests> {
     let mut fleet = Fleet::new(case, seed);
     let mut changes: Vec<(u64, bool, Fault)> = Vec::new();
@@ -298,26 +299,26 @@
     requests
 }
 
-/// What users allow in a window.
+/// The most requests that the availability target tolerates in a window.
 fn bound(it: &Organisation) -> f64 {
     (it.rate * WINDOW as f64 / 1e6 + it.burst) * 1.25 + 20.0
 }
 
-/// Most requests that ran in a window.
+/// The most requests that ran in any window.
 fn most_in_a_window(requests: &Requests, after: u64) -> usize {
     let ran: Vec<u64> = requests.iter().filter(|it| it.1 && it.0 >= after).map(|it| it.0).collect();
     let in_window = |(i, from): (usize, &u64)| ran[i..].partition_point(|it| *it < from + WINDOW);
     ran.iter().enumerate().map(in_window).max().unwrap_or_default()
 }
 
-/// Share of the requests that ran from then on.
+/// Share of the requests between `from` and `to` that ran.
 fn served(requests: &Requests, from: u64, to: u64) -> f64 {
     let all: Vec<bool> =
         requests.iter().filter(|it| (from..to).contains(&it.0)).map(|it| it.1).collect();
     all.iter().filter(|it| **it).count() as f64 / all.len().max(1) as f64
 }
 
-/// Organisations of several sizes, one of which sends far more than it may, and the others at nine tenths.
+/// Organisations of several sizes. Some send `hot` times their rate, the others nine tenths of it.
 fn organisations(hot: f64) -> Vec<Organisation> {
     let one =
         |rate: f64, part: f64| Organisation { rate, burst: rate, sends: rate * part, at: None };
@@ -401,7 +402,7 @@
     check(freeze(0, 30), 0.0);
 }
 
-/// A limit that falls holds one window later.
+/// A reduced limit holds after one window.
 #[test]
 fn a_limit_that_falls_far_below_what_is_asked_holds_after_a_window() {
     let organisations = organisations(2.0);
@@ -427,7 +428,8 @@
     }
 }
 
-/// After all have been killed, organisations within their rate are served within the second second.
+/// After all nodes were killed, organisations within their rate are served again within two
+/// seconds.
 #[test]
 fn a_return_of_all_costs_little() {
     let faults = vec![(10_000 * MS, Fault::Kill { from: 0, to: 30, down: 1_000 * MS })];
@@ -440,7 +442,7 @@
     }
 }
 
-/// A node that starts with all others serves in its first second.
+/// A node that starts together with all others serves requests within its first second.
 #[test]
 fn a_fleet_that_starts_serves_at_once() {
     let case = Case { organisations: organisations(0.9), traffic_from: 0, ..CALM };
@@ -486,7 +488,7 @@
     (6_000_u64..20_000, fault).prop_map(|(at, fault)| (at * MS, fault))
 }
 
-/// Two moves of most nodes within one window: away from owners that are cut off, and back.
+/// Most nodes change owners twice within one window: away from unreachable owners, and back.
 #[test]
 fn the_bound_holds_when_most_nodes_leave_their_owners_for_a_second() {
     for length in [300, 600, 1_028, 1_600, 2_500] {
@@ -511,7 +513,7 @@
     }
 }
 
-/// Share that organisations at nine tenths of their rate get in calm, by their rate.
+/// Share of requests served without faults, by organisation.
 fn served_in_calm(case: &Case) -> Vec<f64> {
     let played: Vec<_> = (1..=3).map(|seed| play(case, seed)).collect();
     let share = |i: usize| {
@@ -521,8 +523,9 @@
     (0..case.organisations.len()).map(share).collect()
 }
 
-/// The ways to share out an allowance. Each node alone has so little that clusters are refused; parts of fixed size for each
-/// of three services fit no organisation that uses one of them more than the others.
+/// Compares ways to divide an allowance. A node's share alone is so small that bursts are refused;
+/// fixed parts for each of three services do not fit an organisation that uses one of them more
+/// than the others.
 #[test]
 fn accounts_at_owners_serve_more_than_parts_for_each_node_or_each_service() {
     let pooled = Case { organisations: organisations(0.9), ..CALM };
--- a/crates/policy/src/tests/budget.rs
+++ b/crates/policy/src/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The users' bound on repeats: over any window, and summed over a fleet that no node sees whole.
+//! The limit on repeats, in any window and summed over a fleet in which no node sees all requests.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 impl Sends {
-    /// The most by which the repeats of any window exceed the bound.
+    /// The largest excess of repeats over the limit in any window.
     fn excess(&self) -> f64 {
         let within = |all: &[Time], end: Time| {
             all.iter().filter(|it| **it <= end && end.since(**it) < WINDOW).count() as f64
@@ -42,7 +42,7 @@
     }
 }
 
-/// Takes whatever is granted.
+/// Spends every repeat that is granted.
 fn spend_all(it: &mut Budget, now: Time, sends: &mut Sends) {
     while take(it, now, Spend::OnFailure) {
         sends.repeats.push(now);
@@ -67,8 +67,8 @@
         prop_assert!(sends.excess() <= 0.0);
     }
 
-    /// Each node asks whoever dispatches in its part; the parts change twice within a window, and all
-    /// spend whatever they are granted.
+    /// Each node asks the dispatcher of its side of a partition. The partition changes twice within
+    /// a window, and all repeats that are granted are spent.
     #[test]
     fn a_fleet_in_parts_stays_within_the_bound(
         parts in prop::collection::vec(prop::collection::vec(0..6_usize, NODES as usize), 3),
@@ -77,7 +77,7 @@
         let (mut sends, mut now) = (Sends::default(), Time(0));
         for (part_of, gap_ms) in parts.iter().zip(gaps) {
             now = now + Duration::from_millis(gap_ms);
-            // Those that dispatch now knew nothing of the service before.
+            // The new dispatchers have no earlier knowledge of the service.
             let mut budgets: Vec<Budget> = (0..6)
                 .map(|_| {
                     let mut it = Budget::new(now, LIMITS);
@@ -106,7 +106,7 @@
         sends.first.push(now);
         spend_all(&mut it, now, &mut sends);
     }
-    // 10 requests a second: 9 tenths of a fifth of them, and half of the fixed part each 10 s.
+    // 10 requests a second: nine tenths of a fifth of them, and half of the fixed part every 10 s.
     let late = sends.repeats.iter().filter(|it| **it > Time(0) + WINDOW * 2).count();
     assert!((160..=200).contains(&late), "{late} in 40 s");
 }
@@ -139,7 +139,7 @@
         |what| std::iter::repeat_with(|| take(&mut it, now, what)).take_while(|it| *it).count();
     let hedges = taken(Spend::OnHedge);
     let others = taken(Spend::OnFailure);
-    // Three tenths of the fixed part lie ready after a calm time.
+    // After an idle period three tenths of the fixed part are available.
     assert_eq!((hedges, others), (10, 7));
     assert!(it.is_short(now));
 }
@@ -152,9 +152,10 @@
     is_allowed
 }
 
-/// Users saw more repeats in ten seconds than are allowed while a service turned much of its work away and
-/// requests waited for slots. A repeat was counted when it joined the queue: those that had waited through
-/// the end of a window reached their endpoints together with all that the next window allows.
+/// Guards against more repeats in ten seconds than the limit allows while many requests of a
+/// service were refused and others waited for slots. Repeats were counted when they joined the
+/// queue; those that waited beyond the end of a window were sent together with all that the next
+/// window allows.
 #[test]
 fn a_repeat_that_waits_for_a_slot_counts_when_it_goes_out() {
     let limits = BudgetLimits { ratio: 0.5, extra: 40.0, window: WINDOW };
@@ -189,17 +190,17 @@
     }
     let asked = (20_000..20_800).map(|seq| it.ask(now, repeat(seq), &mut rng));
     sent += asked.filter(|it| matches!(it, Reply::Granted(_))).count();
-    // A request came every 10 ms.
+    // A request arrived every 10 ms.
     let allowed = 1_000.0 * limits.ratio + limits.extra;
     assert!(sent as f64 <= allowed, "{sent} repeats went out, allowed {allowed}");
 }
 
-/// Nodes that grant in turn, and begin anew.
+/// A change of the granting node, or a restart.
 #[derive(Clone, Copy, Debug)]
 enum Change {
-    /// Another one takes over.
+    /// Another node takes over.
     Takes(usize),
-    /// All begin anew and know nothing.
+    /// All nodes restart without any state.
     Restart,
 }
 
@@ -208,8 +209,8 @@
     prop::collection::vec((12_000..30_000_u64, change), 1..8)
 }
 
-/// Plays changes of who grants over steady traffic, and all who grant spend all they may from the moment of need on.
-/// Each first send is counted at one node.
+/// Applies changes of the granting node to steady traffic. From `need_from_ms` on every granted
+/// repeat is spent. Each first send is counted at one node.
 fn play_changes(mut changes: Vec<(u64, Change)>, need_from_ms: u64, every_ms: u64) -> Sends {
     changes.sort_by_key(|it| it.0);
     let all = |now| -> Vec<Budget> {
@@ -236,7 +237,7 @@
             }
         }
         let node = (ms / every_ms % NODES) as usize;
-        // A node's part moves only when the one before was not asked for a window.
+        // A node's share moves only after the previous owner was not asked for a window.
         let place = asked_at[node];
         if place.is_none_or(|(it, at): (usize, Time)| it == granting || now.since(at) >= WINDOW) {
             budgets[granting].hold_part(now, NodeId(node as u64));
@@ -251,8 +252,8 @@
     sends
 }
 
-/// A drawn case: each start of all brought a tenth of the fixed part, and five of them in six seconds were more than
-/// that leaves.
+/// A case found by the property test below. Each restart of all nodes added a tenth of the fixed
+/// part, and five of them in six seconds exceeded the limit.
 #[test]
 fn five_starts_of_all_in_six_seconds_stay_within_the_bound() {
     let changes = [17_780, 19_965, 20_839, 18_332, 23_346].map(|ms| (ms, Change::Restart));
@@ -261,8 +262,9 @@
 }
 
 proptest! {
-    /// Users saw more repeats than are allowed although each granting node kept to the bound: one had paid with the
-    /// first sends before a change and the next one with those after it.
+    /// Guards against more repeats than allowed although each granting node kept to the limit: one
+    /// node had spent the credit of the first sends before a change, and the next one that of those
+    /// after it.
     #[test]
     fn no_window_holds_more_however_often_those_who_grant_change_or_begin_anew(
         changes in changes(),
--- a/crates/policy/src/tests/fixture.rs
+++ b/crates/policy/src/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A service and a judge that hears made-up outcomes.
+//! A test service, and an outlier detector fed with simulated outcomes.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Ports of small services are easy to read; those of large ones are only to differ.
+/// Distinct ports; those of small services follow a readable pattern.
 fn port(domain: usize, i: usize) -> u16 {
     match i < 100 {
         true => 1000 + 100 * domain as u16 + i as u16,
@@ -58,7 +58,7 @@
     Reporter { node: NodeId(node), failure_domain: node % 3 }
 }
 
-/// What a node tells of one request.
+/// The observation of one request by a node.
 pub(super) fn seen(node: u64, kind: Kind, elapsed: Duration) -> Observation {
     Observation { reporter: reporter(node), endpoint: 0, route: ROUTE, kind, elapsed }
 }
@@ -72,7 +72,7 @@
     Slow(f64),
 }
 
-/// A judge before endpoints of one service, with exponential latencies of 10 ms.
+/// An outlier detector for one service, whose endpoints have exponential latencies of 10 ms.
 pub(super) struct Bench {
     pub(super) judge: Judge,
     pub(super) now: Time,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends one request to a random endpoint in rotation and lets the judge hear of it.
+    /// Sends one request to a random endpoint in rotation and reports the outcome to the detector.
     pub(super) fn step(&mut self, every: Duration) {
         let n = self.health.len();
         let endpoint = self.rng.random_range(0..n);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Lets the judge hear of one request.
+    /// Reports the outcome of one request to the detector.
     pub(super) fn report(&mut self, endpoint: usize, reporter: Reporter, health: Health) {
         let (kind, elapsed) = self.outcome(health);
         let it = Observation { reporter, endpoint, route: ROUTE, kind, elapsed };
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A reporter says that a request is stalled before it ends.
+    /// A reporter reports a request as stalled before the request ends.
     fn as_seen(&self, elapsed: Duration) -> (Kind, Duration) {
         let stall_after = self.judge.baseline.stall_after(ROUTE);
         match elapsed > stall_after {
--- a/crates/policy/src/tests/floor.rs
+++ b/crates/policy/src/tests/floor.rs
@@ -1,3 +1,5 @@
+//! The floor of a rotation under random events.
+
 use std::time::Duration;
 
 use proptest::prelude::*;
@@ -7,7 +9,7 @@
 use crate::rotation::{Rotation, SETTLE, State, domain_floors};
 use crate::{Change, Time};
 
-/// What may happen to a rotation.
+/// An event in a rotation.
 #[derive(Clone, Debug)]
 enum Event {
     Good(usize),
@@ -75,7 +77,7 @@
         own.filter(|it| is(it.state)).count()
     }
 
-    /// No ejection leaves fewer in rotation than the floor; departures are not ejections.
+    /// No ejection leaves fewer endpoints in rotation than the floor; departures are not ejections.
     fn check_floor(&self) -> Result<(), TestCaseError> {
         for domain in self.domains() {
             let floor = self.rotation.floor_of(self.now, &domain);
@@ -90,7 +92,7 @@
         Ok(())
     }
 
-    /// At an ejection the endpoints that stay carry the floor with fresh proof of health.
+    /// At an ejection the remaining endpoints meet the floor with recent good answers.
     fn check_proof(&self, changes: &[Change]) -> Result<(), TestCaseError> {
         let is_new_ejection = |it: &&Change| {
             matches!(it.to, State::Ejected { .. }) && !matches!(it.from, State::Trial { .. })
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Judges that see different worlds: whichever of them a node follows in each failure domain,
-    /// the endpoints in rotation carry the service's floor.
+    /// Detectors with different views: whichever of them a node follows in each failure domain, the
+    /// endpoints in rotation meet the service's floor.
     #[test]
     fn judges_that_disagree_keep_the_floor_together(
         sizes in sizes(),
--- a/crates/policy/src/tests/floor_model.rs
+++ b/crates/policy/src/tests/floor_model.rs
@@ -1,10 +1,10 @@
-//! A model of the floor under several judges while a new configuration spreads.
+//! A model of the floor with several detectors while a new configuration spreads.
 //!
-//! One judge for each of two failure domains ejects on its own word. The old and the new
-//! configuration keep the same floor of the service but split it the other way round. Each judge may
-//! come to know the new configuration at any time; all know it before the first has settled, which
-//! is what `SETTLE` stands for. The specification is explored exhaustively, and random schedules of
-//! the same steps are run through the production rotation beside it.
+//! For each of two failure domains one detector ejects independently. The old and the new
+//! configuration have the same floor for the service but split it differently. Each detector may
+//! receive the new configuration at any time; all receive it before the first has settled, which is
+//! the assumption behind `SETTLE`. The specification is explored exhaustively, and random schedules
+//! of the same steps are compared with the production rotation.
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 use proptest::prelude::*;
@@ -37,9 +37,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct World {
     judges: [Judge; 2],
-    /// Whether the stricter of both floors holds while a judge settles.
+    /// Whether the stricter of both floors applies while a detector settles.
     settles: bool,
-    /// Whether each judge keeps its own part, or counts on the others' endpoints as it last saw them.
+    /// Whether each detector keeps its own share of the floor, or relies on the other failure
+    /// domain's endpoints as last seen.
     splits: bool,
 }
 
@@ -75,12 +76,13 @@
         }
     }
 
-    /// The world after a step, or nothing if the step is not possible.
+    /// The world after a step, or `None` if the step is not possible.
     fn step(mut self, step: Step) -> Option<Self> {
         let all_have_seen = self.judges.iter().all(|it| it.seen != Seen::Old);
         match step {
             Step::Eject(j) => {
-                // Without parts a judge counts on all endpoints of the others, as it last saw them.
+                // Without shares a detector counts all endpoints of the other failure domain, as
+                // last seen.
                 let others = if self.splits { 0 } else { SIZE };
                 let floor = if self.splits { self.floor(j) } else { FLOOR };
                 let left = SIZE - self.judges[j].ejected;
@@ -130,8 +132,7 @@
     }
 }
 
-/// The split of production for sizes of three and the floors of the model: the rotation of a judge
-/// that covers one failure domain.
+/// The rotation of production code for one failure domain of the model.
 struct Production {
     rotation: Rotation,
     now: Time,
@@ -139,7 +140,7 @@
 }
 
 /// A service whose failure domain `domain` has the floor of the given configuration. Production
-/// splits a floor evenly, so each domain stands here for a service of its own.
+/// splits a floor evenly, so each failure domain is represented by a service of its own.
 fn configuration(domain: usize, which: usize) -> Service {
     service(&[SIZE], SPLITS[which][domain], Bias::Speed)
 }
@@ -176,7 +177,7 @@
         (0..SIZE).for_each(|i| self.prove(i));
     }
 
-    /// Endpoints that are in rotation are well.
+    /// Endpoints in rotation are healthy.
     fn prove(&mut self, i: usize) {
         if self.rotation.endpoints()[i].state.in_rotation() {
             self.rotation.good(self.now, i);
--- a/crates/policy/src/tests/kinds.rs
+++ b/crates/policy/src/tests/kinds.rs
@@ -1,5 +1,5 @@
-//! Services of many kinds, driven through a dispatcher in virtual time: what is lost at sick endpoints,
-//! against what choices by chance would lose.
+//! Services of various kinds, driven through a dispatcher in virtual time: requests lost at
+//! unhealthy endpoints, compared with random choices.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 
 /// Step of virtual time.
 const STEP: Duration = Duration::from_millis(5);
-/// Virtual time that a service is played for.
+/// Virtual time of each simulation.
 const PLAYED: Duration = Duration::from_secs(60);
-/// Mean time of healthy work.
+/// Mean duration of healthy work.
 const WORK: Duration = Duration::from_millis(100);
-/// Time after which a request without an answer ends.
+/// Time after which an unanswered request ends.
 const LIMIT: Duration = Duration::from_millis(1_200);
-/// Share of the requests at a sick endpoint that go wrong.
+/// Share of the requests at an unhealthy endpoint that fail.
 const GOES_WRONG: f64 = 0.75;
 
 /// A kind of service.
@@ -26,12 +26,12 @@
 struct Service {
     endpoints: usize,
     per_s: f64,
-    /// Share of its endpoints that are sick at a time, and for how long each.
+    /// Share of its endpoints that are unhealthy at a time, and how long each episode lasts.
     sick: f64,
     lasts: Duration,
-    /// How requests go wrong there.
+    /// How requests fail there.
     ends: Kind,
-    /// How much longer all of its work takes than the objective suggests.
+    /// Factor on the duration of all work, while the objective stays the same.
     slow: f64,
 }
 
@@ -43,7 +43,7 @@
     kind: Kind,
 }
 
-/// What became of the requests.
+/// Results of a simulation.
 #[derive(Debug, Default)]
 struct Played {
     sent: f64,
@@ -105,7 +105,7 @@
     played
 }
 
-/// Checks that at most the part `of_chance` of what choices by chance would lose is lost.
+/// Checks that the lost share is below the fraction `of_chance` of what random choices would lose.
 fn check(it: Service, of_chance: f64) {
     let (mut sent, mut lost) = (0.0, 0.0);
     for seed in 1..=3 {
@@ -127,8 +127,8 @@
     slow: 1.0,
 };
 
-/// Without evidence of silence 0.24, 0.01, 0.29, 0.16 and 0.41 of what chance would lose are lost to
-/// endpoints that hang.
+/// Without open requests as evidence, hanging endpoints lose 0.24, 0.01, 0.29, 0.16 and 0.41 of
+/// what random choices would lose.
 #[test]
 fn whatever_way_endpoints_fall_sick_far_less_is_lost_than_by_chance() {
     for ends in [Kind::Failed, Kind::TimedOut] {
--- a/crates/policy/src/tests/lives.rs
+++ b/crates/policy/src/tests/lives.rs
@@ -1,4 +1,4 @@
-//! An endpoint that starts again keeps its identity and nothing else.
+//! A restarted endpoint keeps its identity, but nothing known about its previous incarnation.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const SOON: Duration = Duration::from_millis(5);
 
-/// The service after its first endpoint has started again.
+/// The service after its first endpoint has restarted.
 fn after_a_start(service: &Service) -> Service {
     let mut it = service.clone();
     it.endpoints[0].started_ms += 1_000;
@@ -70,7 +70,7 @@
     let now = Time(0) + SECOND;
     it.reconfigure(now, &after_a_start(&service), &[TERMS]);
     assert_eq!(it.evidence_of(now, 0).in_use, 0, "its slots are free again");
-    // The request that was open breaks, here and where another dispatcher granted it.
+    // The request that was open fails, whether this or another dispatcher granted its slot.
     it.release(now + SOON, ask(0, true).id, Kind::Failed, SECOND, &mut rng);
     fail(&mut it, now + SOON, &service, SECOND);
     assert_eq!(it.evidence_of(now + SOON, 0).since_failure, None);
--- a/crates/policy/src/tests/queue.rs
+++ b/crates/policy/src/tests/queue.rs
@@ -1,3 +1,5 @@
+//! The order in which waiting requests are served.
+
 use resources::Priority;
 
 use crate::Time;
--- a/crates/policy/src/tests/rate_limit.rs
+++ b/crates/policy/src/tests/rate_limit.rs
@@ -1,3 +1,5 @@
+//! Sends to endpoints under a rate limit.
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -27,7 +29,7 @@
     (Dispatcher::new(at(0), service, &[TERMS], BUDGET), StdRng::seed_from_u64(1))
 }
 
-/// One endpoint with three slots that names a limit, and nobody else.
+/// A dispatcher of a single endpoint with three slots that states a limit.
 fn limited(per_s: f64) -> (Dispatcher, StdRng) {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, rng) = dispatcher(&service);
@@ -35,7 +37,8 @@
     (it, rng)
 }
 
-/// Grants by endpoint and time in milliseconds while `rate` requests a second come that take `WORK` and wait.
+/// Times of the grants, in milliseconds, for `rate` requests a second that take `WORK` and may
+/// wait.
 fn grants(it: &mut Dispatcher, rng: &mut StdRng, rate: u64, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let mut granted = Vec::new();
     let mut open = BTreeMap::new();
@@ -215,7 +218,7 @@
     }
 }
 
-/// Endpoints of a service that bear four requests a second while they are cold.
+/// A service whose endpoints handle four requests a second while they are cold.
 fn cold(warm_up_ms: u32) -> Service {
     let mut it = service(&[2], 1, Bias::Balanced);
     it.cold_rate_per_s = 4.0;
@@ -224,7 +227,7 @@
     it
 }
 
-/// Requests a second that go to the first endpoint, of 60 that are answered at once.
+/// How many of 60 requests a second, all answered at once, go to the first endpoint.
 fn sends_a_second(it: &mut Dispatcher, rng: &mut StdRng, from_s: u64, seconds: u64) -> Vec<usize> {
     let mut sends = Vec::new();
     for s in from_s..from_s + seconds {
@@ -242,7 +245,7 @@
     sends
 }
 
-/// At any moment an endpoint may become cold again, and what it then fails costs nobody a slot for long.
+/// An endpoint may become cold again at any time and is then limited until it is warm.
 #[test]
 fn a_cold_endpoint_gets_what_it_bears_until_it_is_warm() {
     let warm = cold(0);
@@ -252,7 +255,7 @@
     let sends = sends_a_second(&mut it, &mut rng, 1, 3);
     assert!((2..=5).contains(&sends[0]) && (2..=5).contains(&sends[1]), "{sends:?}");
     assert!(sends[2] > 20, "{sends:?}");
-    // The registry says the same again, which makes it no colder.
+    // The registry repeats its statement, which does not make the endpoint cold again.
     it.reconfigure(at(4_000), &cold(2_000), &[TERMS]);
     assert!(sends_a_second(&mut it, &mut rng, 4, 1)[0] > 20);
 }
@@ -269,7 +272,7 @@
     assert!(sends[3] > 20, "{sends:?}");
 }
 
-/// A node that picks for itself does not know what the others send.
+/// A node that dispatches only for itself does not know the sends of the others.
 #[test]
 fn nodes_that_pick_for_themselves_share_what_a_cold_endpoint_bears() {
     let service = cold(3_000);
--- a/crates/policy/src/tests/rendezvous.rs
+++ b/crates/policy/src/tests/rendezvous.rs
@@ -1,6 +1,8 @@
+//! Ranking of nodes by rendezvous hashing.
+
 use crate::{NodeId, rank, rank_strong_first};
 
-/// Nodes with these thousandths of a core, by number.
+/// Nodes with these numbers of millicores.
 fn nodes(of: &[u32]) -> Vec<(NodeId, u32)> {
     (0..).map(NodeId).zip(of.iter().copied()).collect()
 }
@@ -33,7 +35,7 @@
     }
 }
 
-/// Services spread over the strong nodes.
+/// Services are spread over the strong nodes.
 #[test]
 fn each_strong_node_owns_some_keys() {
     let nodes = nodes(&[500, 100, 500, 100, 500]);
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -1,8 +1,8 @@
-//! A model of sending one request, explored exhaustively with the rules that run in production.
+//! A model of sending one request, explored exhaustively with the production rules.
 //!
-//! The environment decides how each send really went and what the sender can tell of it. Two things
-//! must hold in every reachable state: a request that may not be repeated runs at most once, and a
-//! request whose caller is told "not run" has not run.
+//! The environment decides how each send really ended and what the sender observes. In every
+//! reachable state, a request that must not be repeated has run at most once, and a request whose
+//! caller is told "not run" has not run.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 enum Reality {
     /// No connection, or refused by the upstream before any work.
     Refused,
-    /// Written, but lost before it ran; the sender cannot tell.
+    /// Written, but lost before the request ran; the sender cannot tell.
     LostBefore,
     /// Ran, and the answer is lost, late or cancelled.
     LostAfter,
@@ -35,7 +35,7 @@
     unknown_before: bool,
     tokens: u32,
     late: bool,
-    /// Sends that are cancelled but may still run: a frozen upstream wakes up late.
+    /// Cancelled sends that may still run, as when a frozen upstream resumes.
     adrift: u32,
     told: Option<Told>,
 }
@@ -71,7 +71,7 @@
 fn successors(state: &State, rule: Rule) -> Vec<State> {
     let mut next = Vec::new();
     if state.adrift > 0 {
-        // A send that was given up runs after all.
+        // A cancelled send runs after all, or never.
         next.push(State { runs: state.runs + 1, adrift: state.adrift - 1, ..state.clone() });
         next.push(State { adrift: state.adrift - 1, ..state.clone() });
     }
@@ -99,7 +99,7 @@
         max_sends: 3,
         left: if state.late { Duration::ZERO } else { Duration::from_secs(1) },
     };
-    // The budget is asked for the next slot; without one the request ends there.
+    // The budget decides on the next slot; without one the request ends here.
     let mut tokens = state.tokens;
     let next = match rule(outcome, attempt) {
         Next::Again if tokens == 0 => {
--- a/crates/policy/src/tests/signs.rs
+++ b/crates/policy/src/tests/signs.rs
@@ -1,4 +1,4 @@
-//! What services learn of how their endpoints fail.
+//! Outcome likelihoods learned from the failures of a service's endpoints.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const OUTCOMES: usize = 300;
 
-/// Signs of a service whose sick endpoints end their requests like this.
+/// The likelihoods of a service whose unhealthy endpoints end requests with `kind`.
 fn learned(kind: Kind) -> Signs {
     let mut signs = Signs::default();
     for _ in 0..OUTCOMES {
@@ -21,7 +21,7 @@
     signs
 }
 
-/// How much an outcome speaks for sickness on a route of which nothing is known.
+/// Likelihood ratio of an outcome on a route without samples.
 fn ratio(signs: &Signs, kind: Kind) -> f64 {
     let mut baseline = Baseline::default();
     baseline.retain_routes(&[TERMS]);
@@ -54,7 +54,8 @@
     assert!((0.35..=0.4).contains(&share_after(&half)));
 }
 
-/// Requests of one route outlast its time limit wherever they go; that made every endpoint look sick.
+/// Requests of one route exceed its time limit at every endpoint. This must not make all endpoints
+/// look unhealthy.
 #[test]
 fn what_is_usual_on_a_route_says_nothing_of_an_endpoint() {
     let other = RouteTerms { id: ROUTE + 1, ..TERMS };
@@ -70,7 +71,7 @@
     assert!(signs.silence(baseline.still_open(ROUTE, limit)) < 2.0);
     assert!(signs.ratio(&baseline, Kind::Failed, ROUTE) < 3.0);
     assert_eq!(baseline.class_of(Kind::TimedOut, ROUTE, limit), None);
-    // The other route's requests say what they said.
+    // The evidence of the other route's requests is unchanged.
     assert!(signs.silence(baseline.still_open(other.id, limit)) > 20.0);
     assert!(
         baseline.class_of(Kind::TimedOut, other.id, limit + Duration::from_millis(1)).is_some()
--- a/crates/policy/src/tests/silence.rs
+++ b/crates/policy/src/tests/silence.rs
@@ -1,4 +1,4 @@
-//! What requests without an answer say of their endpoint, by how long they have been open.
+//! Unanswered requests as evidence about their endpoint, by the time they have been open.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,8 @@
 use super::fixture::{BUDGET, SECOND, TERMS, ask, seen, service};
 use crate::{Ask, Dispatcher, Kind, PermitId, Reply, Time};
 
-/// Endpoints that hang answered nothing until the deadline of each request, and that was no evidence.
+/// Guards against hanging endpoints that stay in use: a request without an answer until its
+/// deadline counted as no evidence.
 #[test]
 fn an_endpoint_that_lets_requests_time_out_is_used_last() {
     let set_back_after = |kind, elapsed| {
@@ -24,13 +25,13 @@
     };
     for kind in [Kind::TimedOut, Kind::Abandoned, Kind::Beaten, Kind::Stalled] {
         assert_eq!(set_back_after(kind, TERMS.objective * 2), 1, "{kind:?}");
-        // Too little time was left for them, or their callers left early.
+        // Too little time was left for the requests, or their callers disconnected early.
         assert_eq!(set_back_after(kind, TERMS.objective / 20), 0, "{kind:?}");
     }
 }
 
-/// A dispatcher of two endpoints of 3 slots, after one request at the first of them that is open since
-/// time zero, and the identity of that request's permit.
+/// A dispatcher of two endpoints with 3 slots each, with one request open at the first endpoint
+/// since time zero; also returns the request's permit and the endpoint's address.
 fn with_an_open_request(rng: &mut StdRng) -> (Dispatcher, PermitId, SocketAddr) {
     let service = service(&[2], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
@@ -40,7 +41,7 @@
     (dispatcher, id, grant.addr)
 }
 
-/// Of three requests at `now`, how many go to the endpoint at `addr`.
+/// How many of three requests at `now` go to the endpoint at `addr`.
 fn taken_by(dispatcher: &mut Dispatcher, rng: &mut StdRng, now: Time, addr: SocketAddr) -> usize {
     let mut taken = 0;
     for seq in 10..13 {
@@ -53,14 +54,14 @@
     taken
 }
 
-/// Nothing was learned from a request that hangs until its deadline had passed, and meanwhile its
-/// endpoint got more.
+/// Guards against sending more requests to a hanging endpoint: an open request counted as evidence
+/// only after its deadline.
 #[test]
 fn an_endpoint_with_a_request_that_is_open_for_unusually_long_is_passed_over() {
     let mut rng = StdRng::seed_from_u64(1);
     let (mut dispatcher, _, addr) = with_an_open_request(&mut rng);
     let long = Time(0) + TERMS.objective * 2;
-    // Others hold as many slots of the other one, so that only the age can decide.
+    // As many slots of the other endpoint are taken, so that only the age decides.
     fill_other(&mut dispatcher, &mut rng, long, addr);
     assert_eq!(taken_by(&mut dispatcher, &mut rng, long, addr), 0);
 }
@@ -84,13 +85,13 @@
     }
 }
 
-/// Users saw three of six sound endpoints of a download service without work for two seconds, while 21 of 108 downloads
-/// were not served; it comes on one play of nine. Order of events: endpoints are replaced within seconds, so that all of them are
-/// still doubtful and take one request at a time; a request that gets no answer holds that one slot until its time limit, and
-/// the endpoint is not asked again, though it may be well. The log of such a day named endpoints idle for 2.1 to 2.8 s, each
-/// with one or all of its slots held by a request open for as long. Cause: the age of what is open on an endpoint, and the
-/// one slot that doubt leaves it, went before the need for it. Most of these slots were held by requests that had ended,
-/// whose release was lost (`lost_frames.rs` of the fleet); this is what is left where a request is truly open.
+/// Guards against idle endpoints whose slots are held by unanswered requests. Recently replaced
+/// endpoints take one request at a time because their health is not yet known. An unanswered
+/// request held that slot until its deadline, so three of six healthy endpoints of a download
+/// service got no work for 2.1 to 2.8 s while 21 of 108 downloads were not served: the age of the
+/// open request took precedence over the need for work. Most such slots were held by requests whose
+/// release was lost (`lost_frames.rs` of the fleet); this test covers a request that is really
+/// open.
 #[test]
 fn an_endpoint_that_is_missed_gets_work_beside_a_request_without_an_answer() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -121,11 +122,11 @@
     assert!(longest < SECOND * 2, "without work for {longest:?}");
 }
 
-/// Users saw 5 of 13 sound endpoints of a booking service without work for two seconds, while 148 of 978 bookings were not served;
-/// it comes on each play of that day. Order of events: an endpoint hangs for a moment with all its slots taken; its requests
-/// reach their time limit one after the other, seconds after they were sent, and each of them counts as a failure of that
-/// moment, so that the endpoint is left alone for 1.9 s more although nobody has asked it for longer. The log of the day
-/// names endpoints idle for 3.4 to 4.8 s whose last failure is 0.4 to 1.7 s old, on a service that misses endpoints.
+/// Guards against dating a timeout at the deadline instead of at the send. An endpoint hung briefly
+/// with all slots taken; its requests timed out one after the other, seconds after their sends, and
+/// each of them counted as a new failure that kept the endpoint without work for another 1.9 s. On
+/// a booking service, 5 of 13 healthy endpoints were idle for 3.4 to 4.8 s with their last failure
+/// 0.4 to 1.7 s old, while 148 of 978 bookings were not served.
 #[test]
 fn a_time_limit_that_passes_speaks_of_the_time_at_which_the_request_was_sent() {
     let mut rng = StdRng::seed_from_u64(1);
@@ -164,6 +165,7 @@
     }
     let gaps = given.windows(2).map(|it| it[1].since(it[0]));
     let longest = gaps.chain([(Time(0) + SECOND * 9).since(*given.last().unwrap())]).max().unwrap();
-    // It is sound two seconds after its last failing send, and the users look at two more.
+    // The endpoint counts as healthy two seconds after its last failing send, and must get work
+    // within two more.
     assert!(longest < SECOND * 4, "without work for {longest:?}");
 }
--- a/crates/policy/src/tests/suspects.rs
+++ b/crates/policy/src/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints end are sent no more, and harmless ones are not mistaken for them.
+//! Requests that crash endpoints are rejected; harmless requests are not.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
         (id, self.dispatcher.ask(self.now, ask, &mut self.rng))
     }
 
-    /// Asks for a slot that is free.
+    /// Asks for a slot and expects to get one.
     fn granted(&mut self, request: RequestKey) -> PermitId {
         match self.ask(request) {
             (id, Reply::Granted(_)) => id,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Ends of sends, one after the other, and whether the request is rejected then.
+/// Sends that end one after the other with `ends`, and whether the request is then rejected.
 #[track_caller]
 fn check(ends: &[Kind], rejected: bool) {
     let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
@@ -167,7 +167,7 @@
     let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
     for _ in 0..3 {
         bed.now = bed.now + SECOND;
-        // Two nodes tell of the same crash.
+        // Two nodes report the same crash.
         bed.dispatcher.ran(bed.now, GUILTY, RunEnd::Crashed, SOON);
         bed.dispatcher.ran(bed.now + SOON / 10, GUILTY, RunEnd::Crashed, SOON);
     }
@@ -196,12 +196,12 @@
     assert!(it.rejected(now + SECOND, GUILTY).is_some());
 }
 
-/// Endpoints that crash under one of the requests and start anew, callers that come with it at a high rate, and
-/// harmless requests beside it: each its own, and one that all ask.
+/// Endpoints that crash under one of the requests and restart, callers that repeat this request at
+/// a high rate, and harmless requests: unique ones and one sent by many callers.
 struct Model {
     bed: Bed,
     service: Service,
-    /// When an endpoint that is down is back.
+    /// When each endpoint that is down restarts.
     back: Vec<Option<Time>>,
     open: Vec<Send>,
     waiting: Vec<(PermitId, RequestKey)>,
@@ -209,7 +209,7 @@
     rng: StdRng,
 }
 
-/// A request on an endpoint.
+/// A request at an endpoint.
 #[derive(Clone, Copy)]
 struct Send {
     id: PermitId,
@@ -220,7 +220,7 @@
     is_unreached: bool,
 }
 
-/// Asked by many.
+/// A harmless request sent by many callers.
 const POPULAR: RequestKey = RequestKey(3);
 
 impl Model {
@@ -292,7 +292,7 @@
         }
         let due: Vec<Send> = self.open.iter().filter(|it| it.due <= now).copied().collect();
         for it in due {
-            // It may have ended with its endpoint meanwhile.
+            // The request may have ended with its endpoint in the meantime.
             let Some(at) = self.open.iter().position(|other| other.id == it.id) else { continue };
             match it.request {
                 GUILTY if !it.is_unreached => self.crash(it.endpoint),
@@ -312,7 +312,7 @@
             }
         }
         if is_new {
-            // Permits of the life before went with it.
+            // Permits of the previous incarnation ended with it.
             self.bed.dispatcher.reconfigure(now, &self.service, &[TERMS]);
         }
         let settled = self.bed.dispatcher.tick(now, &mut self.bed.rng);
@@ -330,7 +330,8 @@
         for seed in 0..40 {
             let mut it = Model::new(endpoints, seed);
             (0..6_000).for_each(|_| it.step());
-            // The copies that were open before the first crash was known, and two in a row after them.
+            // The copies that were open before the first crash was known, then two consecutive
+            // crashes.
             let first = it.crashes[0];
             let late = it.crashes.iter().filter(|at| at.since(first) > SECOND).count();
             assert!(it.bed.is_rejected(GUILTY), "{endpoints} endpoints, seed {seed}");
--- a/crates/policy/src/tests/verdicts.rs
+++ b/crates/policy/src/tests/verdicts.rs
@@ -1,3 +1,5 @@
+//! How the outlier detector reacts to faults of endpoints, paths and reporters.
+
 use std::time::Duration;
 
 use expect_test::{Expect, expect};
@@ -6,7 +8,7 @@
 use super::fixture::{Bench, Health, reporter, service};
 
 const MS: Duration = Duration::from_millis(1);
-/// About ten seconds of traffic, so that the baseline is known.
+/// About ten seconds of traffic, which establish the baseline.
 const WARM_UP: usize = 10_000;
 
 fn bench(bias: Bias) -> Bench {
@@ -16,7 +18,7 @@
     bench
 }
 
-/// Requests at the sick endpoint until it is out.
+/// Number of requests at the unhealthy endpoint until its ejection.
 fn requests_until_ejected(bias: Bias, health: Health) -> usize {
     let mut bench = bench(bias);
     let since = bench.now;
@@ -24,7 +26,7 @@
         bench.now = since + MS * n;
         bench.judge.tick(bench.now);
         bench.report(0, reporter(n.into()), health);
-        // The siblings go on working.
+        // The siblings continue to work.
         bench.step(Duration::ZERO);
         if bench.states()[0] == "ejected" {
             return n as usize;
@@ -47,7 +49,7 @@
     check(Bias::Caution, Health::Slow(5.0), expect!["31"]);
 }
 
-/// The number of requests can be raised to find rarer faults of the test.
+/// The number of requests can be raised to find rarer false alarms.
 fn healthy_requests() -> usize {
     let text = std::env::var("DAPPLEWAY_HEALTHY_REQUESTS").ok();
     text.and_then(|it| it.parse().ok()).unwrap_or(1_000_000)
@@ -91,7 +93,7 @@
 fn a_path_fault_of_one_failure_domain_ejects_nobody() {
     let mut bench = bench(Bias::Speed);
     for i in 0..500 {
-        // Nodes 30, 33, 36, … lie in the failure domain with the hash 0.
+        // Nodes 30, 33, 36, … are in the failure domain with the hash 0.
         bench.report(0, reporter(30 + 3 * (i % 5)), Health::Stalls(1.0));
         bench.report(0, reporter(31), Health::Well);
         bench.run(5, MS);
@@ -153,11 +155,11 @@
     assert_eq!(outs, [2, 2, 2]);
 }
 
-/// The stalls of the first sick endpoint counted as normal, so that three stalls, which are all that
-/// an endpoint of three slots can show, no longer sufficed for the next one.
+/// Guards against counting the stalls of the first unhealthy endpoint as normal. Three stalls, the
+/// most that an endpoint with three slots can show, were then not enough to detect the next one.
 #[test]
 fn the_next_sick_endpoint_is_found_as_fast_as_the_first() {
-    // Few outcomes, so that a few stalls among them weigh much.
+    // Few outcomes, so that a few stalls among them have a large share.
     let mut bench = Bench::new(&service(&[5, 5, 5], 9, Bias::Speed));
     bench.run(1_500, MS);
     for sick in [0, 5, 10] {
