--- a/crates/policy/src/tests/floor.rs
+++ b/crates/policy/src/tests/floor.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 enum Event {
     Good(usize),
-    Sick(usize),
+    Unhealthy(usize),
     Leave(usize),
     Wait(u64),
     /// A new configuration with other sizes and another floor.
@@ -27,7 +27,7 @@
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         8 => (0..18_usize).prop_map(Event::Good),
-        8 => (0..18_usize).prop_map(Event::Sick),
+        8 => (0..18_usize).prop_map(Event::Unhealthy),
         1 => (0..18_usize).prop_map(Event::Leave),
         3 => (1..12_000_u64).prop_map(Event::Wait),
         1 => (sizes(), 0..18_usize).prop_map(|(sizes, floor)| Event::Reconfigure(sizes, floor)),
@@ -54,7 +54,7 @@
                 self.rotation.clear(now, i % n);
             }
             Event::Good(_) => {}
-            Event::Sick(i) => self.rotation.eject(now, i % n, "test"),
+            Event::Unhealthy(i) => self.rotation.eject(now, i % n, "test"),
             Event::Leave(i) => self.rotation.leave(now, i % n),
             Event::Wait(ms) => self.now = now + Duration::from_millis(*ms),
             Event::Reconfigure(sizes, floor) => {
@@ -93,7 +93,7 @@
     }
 
     /// At an ejection the remaining endpoints meet the floor with recent good answers.
-    fn check_proof(&self, changes: &[Change]) -> Result<(), TestCaseError> {
+    fn check_recent_health(&self, changes: &[Change]) -> Result<(), TestCaseError> {
         let is_new_ejection = |it: &&Change| {
             matches!(it.to, State::Ejected { .. }) && !matches!(it.from, State::Trial { .. })
         };
@@ -101,8 +101,8 @@
             let Some(i) = self.rotation.position(&it.id) else { continue };
             let domain = &self.rotation.endpoints()[i].failure_domain;
             let own = self.rotation.endpoints().iter().filter(|it| it.failure_domain == *domain);
-            let proven = own.filter(|it| it.is_proven(self.now)).count();
-            prop_assert!(proven >= self.rotation.floor_of(self.now, domain));
+            let healthy = own.filter(|it| it.is_proven(self.now)).count();
+            prop_assert!(healthy >= self.rotation.floor_of(self.now, domain));
         }
         Ok(())
     }
@@ -121,21 +121,21 @@
         for event in &events {
             let changes = driver.apply(event);
             driver.check_floor()?;
-            driver.check_proof(&changes)?;
+            driver.check_recent_health(&changes)?;
         }
     }
 
     /// Detectors with different views: whichever of them a node follows in each failure domain, the
     /// endpoints in rotation meet the service's floor.
     #[test]
-    fn judges_that_disagree_keep_the_floor_together(
+    fn detectors_that_disagree_keep_the_floor_together(
         sizes in sizes(),
         floor in 0..18_usize,
-        worlds in prop::collection::vec(prop::collection::vec(event(), 1..60), 3),
+        views in prop::collection::vec(prop::collection::vec(event(), 1..60), 3),
         choice in prop::collection::vec(0..3_usize, 3),
     ) {
         let is_steady = |it: &&Event| !matches!(it, Event::Leave(_) | Event::Reconfigure(..));
-        let drivers: Vec<Driver> = worlds.iter().map(|events| {
+        let drivers: Vec<Driver> = views.iter().map(|events| {
             let mut driver = Driver::new(&sizes, floor);
             for it in events.iter().filter(is_steady) {
                 driver.apply(it);
@@ -144,7 +144,7 @@
         }).collect();
         let domains = drivers[0].domains();
         let in_rotation: usize = domains.iter().zip(choice.iter().cycle())
-            .map(|(domain, judge)| drivers[*judge].count(domain, State::in_rotation))
+            .map(|(domain, detector)| drivers[*detector].count(domain, State::in_rotation))
             .sum();
         let total: usize = sizes.iter().sum();
         prop_assert!(in_rotation >= floor.min(total));
@@ -163,11 +163,11 @@
 }
 
 #[test]
-fn a_sick_endpoint_that_the_floor_keeps_is_used_last() {
+fn an_unhealthy_endpoint_that_the_floor_keeps_is_used_last() {
     let mut driver = Driver::new(&[2], 2);
     driver.apply(&Event::Good(0));
     driver.apply(&Event::Good(1));
-    driver.apply(&Event::Sick(0));
+    driver.apply(&Event::Unhealthy(0));
     assert_eq!(driver.rotation.endpoints()[0].state, State::Suspect);
 }
 
@@ -175,7 +175,7 @@
 fn a_raised_floor_brings_endpoints_back() {
     let mut driver = Driver::new(&[3], 1);
     (0..3).for_each(|i| drop(driver.apply(&Event::Good(i))));
-    driver.apply(&Event::Sick(0));
+    driver.apply(&Event::Unhealthy(0));
     assert_eq!(driver.rotation.endpoints()[0].state.name(), "ejected");
     driver.apply(&Event::Reconfigure(vec![3], 3));
     assert_eq!(driver.rotation.endpoints()[0].state, State::Suspect);
@@ -192,10 +192,10 @@
 }
 
 #[test]
-fn old_proof_of_health_does_not_count() {
+fn an_old_good_answer_does_not_count() {
     let mut driver = Driver::new(&[3], 2);
     (0..3).for_each(|i| drop(driver.apply(&Event::Good(i))));
     driver.apply(&Event::Wait(11_000));
-    driver.apply(&Event::Sick(0));
+    driver.apply(&Event::Unhealthy(0));
     assert_eq!(driver.rotation.endpoints()[0].state, State::Suspect);
 }
--- a/crates/policy/src/tests/floor_model.rs
+++ b/crates/policy/src/tests/floor_model.rs
@@ -22,21 +22,21 @@
 const SPLITS: [[usize; 2]; 2] = [[2, 1], [1, 2]];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Seen {
+enum ConfigPhase {
     Old,
     Settling,
     Settled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Judge {
-    seen: Seen,
+struct Detector {
+    phase: ConfigPhase,
     ejected: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct World {
-    judges: [Judge; 2],
+    detectors: [Detector; 2],
     /// Whether the stricter of both floors applies while a detector settles.
     settles: bool,
     /// Whether each detector keeps its own share of the floor, or relies on the other failure
@@ -48,7 +48,7 @@
 enum Step {
     Eject(usize),
     Readmit(usize),
-    See(usize),
+    Receive(usize),
     Settle(usize),
 }
 
@@ -57,48 +57,53 @@
     Step::Eject(1),
     Step::Readmit(0),
     Step::Readmit(1),
-    Step::See(0),
-    Step::See(1),
+    Step::Receive(0),
+    Step::Receive(1),
     Step::Settle(0),
     Step::Settle(1),
 ];
 
-const START: World =
-    World { judges: [Judge { seen: Seen::Old, ejected: 0 }; 2], settles: true, splits: true };
+const START: World = World {
+    detectors: [Detector { phase: ConfigPhase::Old, ejected: 0 }; 2],
+    settles: true,
+    splits: true,
+};
 
 impl World {
     fn floor(&self, j: usize) -> usize {
         let [old, new] = [SPLITS[0][j], SPLITS[1][j]];
-        match self.judges[j].seen {
-            Seen::Old => old,
-            Seen::Settling if self.settles => old.max(new),
-            Seen::Settling | Seen::Settled => new,
+        match self.detectors[j].phase {
+            ConfigPhase::Old => old,
+            ConfigPhase::Settling if self.settles => old.max(new),
+            ConfigPhase::Settling | ConfigPhase::Settled => new,
         }
     }
 
     /// The world after a step, or `None` if the step is not possible.
     fn step(mut self, step: Step) -> Option<Self> {
-        let all_have_seen = self.judges.iter().all(|it| it.seen != Seen::Old);
+        let all_have_received = self.detectors.iter().all(|it| it.phase != ConfigPhase::Old);
         match step {
             Step::Eject(j) => {
                 // Without shares a detector counts all endpoints of the other failure domain, as
                 // last seen.
                 let others = if self.splits { 0 } else { SIZE };
                 let floor = if self.splits { self.floor(j) } else { FLOOR };
-                let left = SIZE - self.judges[j].ejected;
+                let left = SIZE - self.detectors[j].ejected;
                 if left == 0 || others + left - 1 < floor {
                     return None;
                 }
-                self.judges[j].ejected += 1;
+                self.detectors[j].ejected += 1;
             }
-            Step::Readmit(j) if self.judges[j].ejected > 0 => self.judges[j].ejected -= 1,
-            Step::See(j) if self.judges[j].seen == Seen::Old => {
-                self.judges[j].seen = Seen::Settling;
+            Step::Readmit(j) if self.detectors[j].ejected > 0 => self.detectors[j].ejected -= 1,
+            Step::Receive(j) if self.detectors[j].phase == ConfigPhase::Old => {
+                self.detectors[j].phase = ConfigPhase::Settling;
                 let most = if self.splits { SIZE - self.floor(j) } else { SIZE };
-                self.judges[j].ejected = self.judges[j].ejected.min(most);
+                self.detectors[j].ejected = self.detectors[j].ejected.min(most);
             }
-            Step::Settle(j) if self.judges[j].seen == Seen::Settling && all_have_seen => {
-                self.judges[j].seen = Seen::Settled;
+            Step::Settle(j)
+                if self.detectors[j].phase == ConfigPhase::Settling && all_have_received =>
+            {
+                self.detectors[j].phase = ConfigPhase::Settled;
             }
             _ => return None,
         }
@@ -110,13 +115,13 @@
     }
 
     fn is_below_floor(&self) -> bool {
-        let left: usize = self.judges.iter().map(|it| SIZE - it.ejected).sum();
+        let left: usize = self.detectors.iter().map(|it| SIZE - it.ejected).sum();
         left < FLOOR
     }
 }
 
 #[test]
-fn the_floor_holds_whatever_each_judge_knows() {
+fn the_floor_holds_whatever_each_detector_knows() {
     assert_eq!(bfs(&START, World::successors, World::is_below_floor), None);
     let states = bfs_reach(START, World::successors).count();
     println!("{states} states, all that can be reached");
@@ -157,12 +162,12 @@
     }
 
     fn apply(&mut self, step: Step) {
-        (0..SIZE).for_each(|i| self.prove(i));
+        (0..SIZE).for_each(|i| self.confirm_healthy(i));
         match step {
             Step::Eject(_) => {
-                let well =
+                let healthy =
                     (0..SIZE).find(|i| self.rotation.endpoints()[*i].state == State::Healthy);
-                if let Some(i) = well {
+                if let Some(i) = healthy {
                     self.rotation.eject(self.now, i, "test");
                 }
             }
@@ -171,14 +176,14 @@
                     .find(|i| matches!(self.rotation.endpoints()[*i].state, State::Ejected { .. }));
                 self.rotation.readmit_for_test(self.now, out.expect("the model has one out"));
             }
-            Step::See(_) => self.rotation.reconfigure(self.now, &configuration(self.domain, 1)),
+            Step::Receive(_) => self.rotation.reconfigure(self.now, &configuration(self.domain, 1)),
             Step::Settle(_) => self.now = self.now + SETTLE,
         }
-        (0..SIZE).for_each(|i| self.prove(i));
+        (0..SIZE).for_each(|i| self.confirm_healthy(i));
     }
 
     /// Endpoints in rotation are healthy.
-    fn prove(&mut self, i: usize) {
+    fn confirm_healthy(&mut self, i: usize) {
         if self.rotation.endpoints()[i].state.in_rotation() {
             self.rotation.good(self.now, i);
             self.rotation.clear(self.now, i);
@@ -192,7 +197,7 @@
         let mut world = START;
         let mut production = [Production::new(0), Production::new(1)];
         for step in steps.into_iter().map(|i| STEPS[i]) {
-            let (Step::Eject(j) | Step::Readmit(j) | Step::See(j) | Step::Settle(j)) = step;
+            let (Step::Eject(j) | Step::Readmit(j) | Step::Receive(j) | Step::Settle(j)) = step;
             let is_eject = matches!(step, Step::Eject(_));
             match world.step(step) {
                 Some(next) => {
@@ -203,7 +208,7 @@
                 None if is_eject => production[j].apply(step),
                 None => {}
             }
-            prop_assert_eq!(production[j].ejected(), world.judges[j].ejected, "{:?}", step);
+            prop_assert_eq!(production[j].ejected(), world.detectors[j].ejected, "{:?}", step);
         }
     }
 }
