--- a/crates/policy/src/belief.rs
+++ b/crates/policy/src/belief.rs
@@ -19,7 +19,7 @@
 const UNKNOWN: f64 = 0.1;
 /// Likelihood ratio (unhealthy against healthy) above which an unanswered request counts as a
 /// failure.
-pub(crate) const SILENCE_FAILS: f64 = 4.0;
+pub(crate) const SILENCE_RATIO: f64 = 4.0;
 /// Bounds of the probability. At 0 or 1 no further evidence could change it.
 const BOUNDS: (f64, f64) = (0.002, 0.985);
 /// Below this probability an endpoint is used without restriction.
@@ -33,16 +33,16 @@
 /// availability target. The target counts an endpoint as healthy two seconds after its last failure
 /// and expects work at most of the healthy endpoints in any two seconds. Only endpoints without
 /// failures are counted, so using a given share of all endpoints does not meet the target.
-pub(crate) const IDLE_AFTER: Duration = Duration::from_millis(3_600);
+pub(crate) const IDLE_AFTER_FAILURE: Duration = Duration::from_millis(3_600);
 /// In steady state an endpoint without work for this long is due for a request. The availability
 /// target uses windows of two seconds, within which the next request has to arrive and reach the
 /// endpoint.
-pub(crate) const ALONE_AFTER: Duration = Duration::from_millis(1_750);
+pub(crate) const PROBE_AFTER: Duration = Duration::from_millis(1_750);
 /// While some requests are not served, an endpoint is due after this long without work. This is
-/// shorter than `ALONE_AFTER` because the request may have to wait for a slot.
-pub(crate) const MISSED_AFTER: Duration = Duration::from_millis(1_500);
+/// shorter than `PROBE_AFTER` because the request may have to wait for a slot.
+pub(crate) const STARVED_AFTER: Duration = Duration::from_millis(1_500);
 /// While some requests are not served, an endpoint is tried again this long after its last failure.
-pub(crate) const TRY_AGAIN: Duration = Duration::from_millis(1_900);
+pub(crate) const RETRY_FAILED_AFTER: Duration = Duration::from_millis(1_900);
 /// Number of nodes that must fail to reach an endpoint in succession, with no answer to any node in
 /// between, before the endpoint counts as failed. Fewer may only show a fault of their network
 /// paths.
@@ -66,7 +66,7 @@
 /// How much of a service's work is not served, which decides how soon idle and failed endpoints are
 /// used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Strain {
+pub(crate) enum Pressure {
     /// Nearly all requests are served.
     None,
     /// More requests than usual are not served, or their share is rising: no endpoint stays idle
@@ -76,7 +76,7 @@
     Unserved,
 }
 
-impl Strain {
+impl Pressure {
     /// Name used in logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
@@ -87,18 +87,18 @@
     }
 
     /// How long an endpoint may be without work when none is deliberately kept idle.
-    pub(crate) fn idle_for(self) -> Duration {
+    pub(crate) fn probe_after(self) -> Duration {
         match self {
-            Self::None | Self::Growing => ALONE_AFTER,
-            Self::Unserved => MISSED_AFTER,
+            Self::None | Self::Growing => PROBE_AFTER,
+            Self::Unserved => STARVED_AFTER,
         }
     }
 
     /// The longest time for which an endpoint gets no work after a failure.
-    pub(crate) fn alone_for(self) -> Duration {
+    pub(crate) fn retry_failed_after(self) -> Duration {
         match self {
-            Self::None | Self::Growing => IDLE_AFTER,
-            Self::Unserved => TRY_AGAIN,
+            Self::None | Self::Growing => IDLE_AFTER_FAILURE,
+            Self::Unserved => RETRY_FAILED_AFTER,
         }
     }
 }
@@ -161,13 +161,13 @@
 
     /// The probability that the endpoint is unhealthy, updated by `ratio`, the likelihood ratio of
     /// its open requests.
-    pub(crate) fn sick_given(&self, now: Time, ratio: f64, rest: f64) -> f64 {
-        let sick = self.sick(now, rest);
+    pub(crate) fn p_unhealthy_given(&self, now: Time, ratio: f64, rest: f64) -> f64 {
+        let sick = self.p_unhealthy(now, rest);
         sick * ratio / (sick * ratio + 1.0 - sick)
     }
 
     /// The probability that the endpoint is unhealthy.
-    pub(crate) fn sick(&self, now: Time, rest: f64) -> f64 {
+    pub(crate) fn p_unhealthy(&self, now: Time, rest: f64) -> f64 {
         let kept = (-now.seconds_since(self.at) / EVIDENCE_LASTS).exp();
         rest + (self.sick - rest) * kept
     }
@@ -188,16 +188,16 @@
     }
 
     /// How the endpoint is used now.
-    pub(crate) fn usage(&self, now: Time, strain: Strain, rest: f64) -> Use {
-        self.usage_if(self.sick(now, rest), now, strain)
+    pub(crate) fn usage(&self, now: Time, strain: Pressure, rest: f64) -> Use {
+        self.usage_at(self.p_unhealthy(now, rest), now, strain)
     }
 
     /// Like [`Self::usage`], for a probability that the caller has already computed.
-    pub(crate) fn usage_if(&self, sick: f64, now: Time, strain: Strain) -> Use {
+    pub(crate) fn usage_at(&self, sick: f64, now: Time, strain: Pressure) -> Use {
         match sick {
             it if it < FREELY_BELOW => Use::Freely,
             it if it < SINGLY_BELOW => Use::Singly,
-            _ if self.failed_before(now, strain.alone_for()) => Use::Singly,
+            _ if self.failed_before(now, strain.retry_failed_after()) => Use::Singly,
             it if it < CAUTIOUSLY_BELOW => Use::Cautiously,
             _ => Use::Last,
         }
@@ -217,7 +217,7 @@
     /// Applies an unanswered request that was open for `elapsed`. The failure is dated at the send:
     /// a timeout is no evidence for the time after the send.
     fn wait_in_vain(&mut self, now: Time, elapsed: Duration, ratio: f64, rest: f64) {
-        match ratio > SILENCE_FAILS {
+        match ratio > SILENCE_RATIO {
             true => self.fail(now, now - elapsed, ratio, rest),
             false => self.weigh(now, ratio, rest),
         }
@@ -225,7 +225,7 @@
 
     /// Multiplies the odds by a likelihood ratio (unhealthy against healthy).
     fn weigh(&mut self, now: Time, ratio: f64, rest: f64) {
-        let sick = self.sick(now, rest);
+        let sick = self.p_unhealthy(now, rest);
         let odds = sick / (1.0 - sick) * ratio;
         self.sick = (odds / (1.0 + odds)).clamp(BOUNDS.0, BOUNDS.1);
         self.at = now;
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -26,7 +26,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::baseline::RouteTerms;
-use crate::belief::{ALONE_AFTER, Strain};
+use crate::belief::{PROBE_AFTER, Pressure};
 use crate::budget::{Budget, BudgetLimits, RepeatsReport, Spend};
 use crate::judge::Judge;
 use crate::observation::{Kind, Observation, Reporter};
@@ -159,7 +159,7 @@
     counts: DispatchCounts,
     granted_at: Option<Time>,
     /// Whether so much fails that endpoints are tried again sooner; as of the last choice.
-    strain: Strain,
+    strain: Pressure,
     /// Time without work after which an endpoint is due, and when that was worked out.
     due_after: (Duration, Time),
     working_set: WorkingSet,
@@ -208,8 +208,8 @@
             overlap: Overlap::default(),
             counts: DispatchCounts::default(),
             granted_at: None,
-            strain: Strain::None,
-            due_after: (ALONE_AFTER, now),
+            strain: Pressure::None,
+            due_after: (PROBE_AFTER, now),
             working_set: WorkingSet::default(),
             rate: Rate::default(),
             elsewhere: elsewhere(routes),
--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -7,7 +7,9 @@
 use super::load::Load;
 use super::rest::{Rested, due_after};
 use super::working_set::Spread;
-use crate::belief::{Belief, IDLE_AFTER, MISSED_AFTER, SILENCE_FAILS, Strain, TRY_AGAIN, Use};
+use crate::belief::{
+    Belief, IDLE_AFTER_FAILURE, Pressure, RETRY_FAILED_AFTER, SILENCE_RATIO, STARVED_AFTER, Use,
+};
 use crate::permit::{Ask, Doubt, SendKind, Tier};
 use crate::rotation::State;
 use crate::time::Time;
@@ -56,7 +58,7 @@
     /// Its position.
     i: usize,
     now: Time,
-    strain: Strain,
+    strain: Pressure,
     spread: Spread,
     addr: SocketAddr,
     state: State,
@@ -137,14 +139,14 @@
     /// Whether it is due, and the users may count it as idle. They count the endpoints of all failure domains alike, so that
     /// it goes first wherever it is.
     fn is_missed(&self, ask: &Ask, distance: Distance) -> bool {
-        self.alone > MISSED_AFTER && self.is_due(ask, distance)
+        self.alone > STARVED_AFTER && self.is_due(ask, distance)
     }
 
     fn usage(&self) -> Use {
-        if self.silence > SILENCE_FAILS {
+        if self.silence > SILENCE_RATIO {
             return Use::Last;
         }
-        self.belief.usage_if(self.sick, self.now, self.strain)
+        self.belief.usage_at(self.sick, self.now, self.strain)
     }
 
     /// Whether an endpoint that is out of rotation is tried all the same, one request at a time,
@@ -152,9 +154,11 @@
     fn is_needed(&self) -> bool {
         let is_out = matches!(self.state, State::Ejected { .. })
             && !self.is_evacuated
-            && self.now.since(self.since) > TRY_AGAIN;
+            && self.now.since(self.since) > RETRY_FAILED_AFTER;
         // Sick endpoints fail at once: without a pause they would be tried again and again.
-        is_out && self.strain == Strain::Unserved && self.belief.failed_before(self.now, TRY_AGAIN)
+        is_out
+            && self.strain == Pressure::Unserved
+            && self.belief.failed_before(self.now, RETRY_FAILED_AFTER)
     }
 
     /// Slots that may be used now: one while nothing proves that the endpoint is well again.
@@ -178,7 +182,7 @@
     /// holds its slots may never be answered though it is well. Work that may be sent again loses little by it.
     fn takes_beside(&self, ask: &Ask, distance: Distance) -> bool {
         self.is_missed(ask, distance)
-            && self.strain == Strain::Unserved
+            && self.strain == Pressure::Unserved
             && ask.repeatable
             && self.state.in_rotation()
     }
@@ -198,10 +202,10 @@
         if self.spread == Spread::WorkingSet {
             return false;
         }
-        let usage = self.belief.usage_if(self.sick, self.now, Strain::None);
+        let usage = self.belief.usage_at(self.sick, self.now, Pressure::None);
         matches!(usage, Use::Last | Use::Cautiously)
-            && self.belief.failed_before(self.now, TRY_AGAIN)
-            && self.silence <= SILENCE_FAILS
+            && self.belief.failed_before(self.now, RETRY_FAILED_AFTER)
+            && self.silence <= SILENCE_RATIO
     }
 
     /// Rank by sickness among endpoints of one tier, before slots and distance. Last choices and further
@@ -328,21 +332,21 @@
     /// Looks at what bears on all choices at this moment.
     pub(super) fn look_around(&mut self, now: Time) {
         self.is_budget_short = self.budget.is_short(now);
-        self.strain = self.served.strain(now);
+        self.strain = self.served.pressure(now);
         self.look_how_to_spread(now);
         self.look_who_is_due(now);
     }
 
     /// Works out for how long endpoints are left alone: anew a few times a second while nothing presses.
     fn look_who_is_due(&mut self, now: Time) {
-        if self.strain != Strain::None || self.queue.len() > 0 {
-            self.due_after = (self.strain.idle_for(), now);
+        if self.strain != Pressure::None || self.queue.len() > 0 {
+            self.due_after = (self.strain.probe_after(), now);
         } else if now.since(self.due_after.1) >= DUE_REFRESH {
             let endpoints = self.endpoints().iter().zip(&self.loads);
             let there = endpoints.filter(|(it, _)| it.is_expected());
             let rested = there.map(|(status, load)| Rested {
                 idle: load.idle(now),
-                may_be_sound: load.belief.failed_before(now, IDLE_AFTER),
+                may_be_sound: load.belief.failed_before(now, IDLE_AFTER_FAILURE),
                 is_settled: load.age(now) > SETTLED_AFTER,
                 is_open: status.state.in_rotation(),
             });
@@ -379,7 +383,7 @@
             alone: load.alone(now),
             paced_slots: load.said.pace.slots(now, self.mean_hold),
             may_send: load.said.pace.allows(now, self.sharers(load)),
-            sick: load.belief.sick_given(now, silence, self.signs.share()),
+            sick: load.belief.p_unhealthy_given(now, silence, self.signs.share()),
         }
     }
 
@@ -394,11 +398,11 @@
             return if load.is_due_as_newcomer(now) { Due::ForAny } else { Due::Not };
         }
         let Some(idle) = load.idle(now) else { return Due::ForAny };
-        let may_be_well = load.belief.failed_before(now, self.strain.alone_for());
+        let may_be_well = load.belief.failed_before(now, self.strain.retry_failed_after());
         match if distance == Distance::Near { idle + NEAR_FIRST } else { idle } {
             _ if !may_be_well => Due::Not,
             it if it > self.due_after.0 => Due::ForAny,
-            it if it > self.strain.idle_for() => Due::ForRepeatable,
+            it if it > self.strain.probe_after() => Due::ForRepeatable,
             _ => Due::Not,
         }
     }
@@ -416,7 +420,7 @@
         // A trial is there to find out whether the failures have ended.
         let is_on_trial = matches!(look.state, State::Trial { .. });
         let usage = if is_on_trial { Use::Freely } else { look.usage() };
-        let is_suspect = look.state == State::Suspect && now.since(look.since) < TRY_AGAIN;
+        let is_suspect = look.state == State::Suspect && now.since(look.since) < RETRY_FAILED_AFTER;
         let is_out_of_use = look.is_missing
             || now < load.hinted_until
             || now < load.full_until
--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -7,7 +7,7 @@
 
 use super::Dispatcher;
 use super::choice::SOUND_AFTER;
-use crate::belief::Strain;
+use crate::belief::Pressure;
 use crate::rate_limit::RateLimit;
 use crate::time::Time;
 
@@ -119,7 +119,7 @@
                 state: it.state.name(),
                 used: load.belief.usage(now, self.strain, share).name(),
                 is_missing: it.is_missing,
-                sick: load.belief.sick(now, share),
+                sick: load.belief.p_unhealthy(now, share),
                 since_failure: load.belief.since_failure(now),
                 in_use: load.in_use(),
                 oldest_open: load.oldest_open(now),
@@ -151,7 +151,7 @@
 
     /// Whether so much is not served, here or elsewhere, that endpoints without work are missed; as of the last choice.
     pub fn is_strained(&self) -> bool {
-        self.strain != Strain::None
+        self.strain != Pressure::None
     }
 
     /// How much the service misses endpoints, as of the last choice; for logs.
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -7,7 +7,7 @@
 
 use super::load::Slot;
 use super::{ANSWERED_LIFETIME, Dispatcher, Permit, Told};
-use crate::belief::{Strain, Use};
+use crate::belief::{Pressure, Use};
 use crate::observation::{Kind, Observation};
 use crate::permit::{PermitId, Settled};
 use crate::rate_limit::RateLimit;
@@ -141,7 +141,7 @@
         let endpoints = self.endpoints().iter().zip(&self.loads);
         endpoints
             .filter(move |(_, load)| {
-                load.belief.usage(now, Strain::None, self.signs.share()) == Use::Last
+                load.belief.usage(now, Pressure::None, self.signs.share()) == Use::Last
             })
             .map(|(it, _)| it.addr)
     }
@@ -152,7 +152,7 @@
         EvidenceReport {
             score: self.judge.score(endpoint),
             in_use: load.in_use(),
-            sick: load.belief.sick(now, self.signs.share()),
+            sick: load.belief.p_unhealthy(now, self.signs.share()),
             used: load.belief.usage(now, self.strain, self.signs.share()).name(),
             since_failure: load.belief.since_failure(now),
             rate_limit: load.said.pace.limit(),
@@ -196,7 +196,7 @@
         self.refreshed = now;
         let rest = self.signs.share();
         let in_use = self.loads.iter().filter(|it| it.belief.is_recent(now));
-        self.signs.refresh(in_use.map(|it| it.belief.sick(now, rest)));
+        self.signs.refresh(in_use.map(|it| it.belief.p_unhealthy(now, rest)));
     }
 
     fn note(&mut self, now: Time, it: Observation) {
@@ -208,9 +208,9 @@
         let ratio = self.ratio(&it);
         let rest = self.signs.share();
         let belief = &mut self.loads[it.endpoint].belief;
-        let before = belief.usage(now, Strain::None, rest);
+        let before = belief.usage(now, Pressure::None, rest);
         belief.observe(now, it.kind, it.reporter, it.elapsed, ratio, rest);
-        if before != Use::Last && belief.usage(now, Strain::None, rest) == Use::Last {
+        if before != Use::Last && belief.usage(now, Pressure::None, rest) == Use::Last {
             let reason = match it.kind {
                 Kind::Unreachable => "used last: several nodes in a row cannot reach it",
                 it if it.is_silence() => "used last: a request had no answer",
@@ -218,7 +218,7 @@
             };
             self.judge.rotation.remark(it.endpoint, reason);
         }
-        let sick = self.loads[it.endpoint].belief.sick(now, rest);
+        let sick = self.loads[it.endpoint].belief.p_unhealthy(now, rest);
         self.signs.learn(it.kind, sick);
         match it.kind {
             Kind::TimedOut | Kind::Beaten | Kind::Abandoned => {
--- a/crates/policy/src/dispatcher/rest.rs
+++ b/crates/policy/src/dispatcher/rest.rs
@@ -5,7 +5,7 @@
 //! long as the slots are not missed, nobody gains by it. What binds is the users' floor: while a tenth to a half of
 //! a service's requests go unserved during two seconds, most of its sound endpoints must get work in these. An
 //! endpoint that failed by itself counts as sound again after two seconds, so that one left alone for longer than
-//! [`IDLE_AFTER`] may count as missing.
+//! [`IDLE_AFTER_FAILURE`] may count as missing.
 //!
 //! What binds the floor may come after the seconds that are looked at, as the loss of all nodes with what is under way. So
 //! the bound holds at each moment, in calm too, for the fewest endpoints that the users may count: of those that
@@ -15,7 +15,7 @@
 
 use std::time::Duration;
 
-use crate::belief::ALONE_AFTER;
+use crate::belief::PROBE_AFTER;
 
 /// Part of the endpoints at work that the users count for sure. The others may be slow, cut off from the platform, or behind
 /// troubled links, which shows in no failure; users have left out eight of 19.
@@ -42,8 +42,8 @@
     let mut at_work = 0;
     for it in endpoints.filter(|it| it.may_be_sound) {
         match it.idle {
-            Some(idle) if idle > ALONE_AFTER && it.is_open => alone.push(idle),
-            Some(idle) if idle > ALONE_AFTER => out += 1,
+            Some(idle) if idle > PROBE_AFTER && it.is_open => alone.push(idle),
+            Some(idle) if idle > PROBE_AFTER => out += 1,
             Some(_) => at_work += usize::from(it.is_settled),
             None => {}
         }
@@ -55,6 +55,6 @@
     alone.sort_unstable();
     match may_rest.checked_sub(1) {
         Some(last) => alone.get(last).copied().unwrap_or(Duration::MAX),
-        None => ALONE_AFTER,
+        None => PROBE_AFTER,
     }
 }
--- a/crates/policy/src/served.rs
+++ b/crates/policy/src/served.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use crate::belief::Strain;
+use crate::belief::Pressure;
 use crate::time::Time;
 
 /// Time constant with which outcomes decay. The availability target uses windows of two seconds.
@@ -84,13 +84,13 @@
     }
 
     /// The pressure that follows from the share of unserved requests.
-    pub(crate) fn strain(&self, now: Time) -> Strain {
+    pub(crate) fn pressure(&self, now: Time) -> Pressure {
         let lately = self.lately.unserved_share(now);
         match lately {
-            it if it > STRAINED => Strain::Unserved,
-            it if it > GROWING => Strain::Growing,
-            _ if self.latest.unserved_share(now) > LATEST_GROWING => Strain::Growing,
-            _ => Strain::None,
+            it if it > STRAINED => Pressure::Unserved,
+            it if it > GROWING => Pressure::Growing,
+            _ if self.latest.unserved_share(now) > LATEST_GROWING => Pressure::Growing,
+            _ => Pressure::None,
         }
     }
 }
