--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -29,13 +29,13 @@
 use crate::belief::{PROBE_AFTER, Pressure};
 use crate::budget::{Budget, BudgetLimits, RepeatsReport, Spend};
 use crate::judge::Judge;
+use crate::likelihoods::Likelihoods;
 use crate::observation::{Kind, Observation, Reporter};
 use crate::permit::{Ask, Grant, PermitId, Reply, SendKind, Settled, Tier};
 use crate::queue::Queue;
 use crate::rate_limit::RateLimit;
 use crate::rotation::{Change, EndpointStatus, Lives, Rotation, State};
 use crate::served::{Ending, Served};
-use crate::signs::Signs;
 use crate::suspects::{RequestKey, Suspects};
 use crate::time::Time;
 use crate::topology::Topology;
@@ -133,7 +133,7 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     judge: Judge,
-    signs: Signs,
+    signs: Likelihoods,
     /// When the signs were last refreshed.
     refreshed: Time,
     /// In the order of the rotation.
@@ -190,7 +190,7 @@
     pub fn new(now: Time, service: &Service, routes: &[RouteTerms], budget: BudgetLimits) -> Self {
         let mut it = Self {
             judge: Judge::new(now, service, routes),
-            signs: Signs::default(),
+            signs: Likelihoods::default(),
             refreshed: now,
             loads: service.endpoints.iter().map(|it| Load::new(now, &it.failure_domain)).collect(),
             remembered: Remembered::default(),
--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -383,7 +383,7 @@
             alone: load.alone(now),
             paced_slots: load.said.pace.slots(now, self.mean_hold),
             may_send: load.said.pace.allows(now, self.sharers(load)),
-            sick: load.belief.p_unhealthy_given(now, silence, self.signs.share()),
+            sick: load.belief.p_unhealthy_given(now, silence, self.signs.p_unhealthy()),
         }
     }
 
--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -109,7 +109,7 @@
 
     /// Endpoints that could be used and have had no work for two seconds.
     pub fn idle_endpoints(&self, now: Time) -> impl Iterator<Item = IdleEndpoint> + '_ {
-        let share = self.signs.share();
+        let share = self.signs.p_unhealthy();
         let all = self.endpoints().iter().zip(&self.loads);
         let is_idle = move |idle: Option<Duration>| idle.is_none_or(|it| it >= REPORTED_IDLE);
         all.filter(move |(_, load)| is_idle(load.idle(now)) && load.age(now) >= REPORTED_IDLE).map(
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -141,7 +141,7 @@
         let endpoints = self.endpoints().iter().zip(&self.loads);
         endpoints
             .filter(move |(_, load)| {
-                load.belief.usage(now, Pressure::None, self.signs.share()) == Use::Last
+                load.belief.usage(now, Pressure::None, self.signs.p_unhealthy()) == Use::Last
             })
             .map(|(it, _)| it.addr)
     }
@@ -152,8 +152,8 @@
         EvidenceReport {
             score: self.judge.score(endpoint),
             in_use: load.in_use(),
-            sick: load.belief.p_unhealthy(now, self.signs.share()),
-            used: load.belief.usage(now, self.strain, self.signs.share()).name(),
+            sick: load.belief.p_unhealthy(now, self.signs.p_unhealthy()),
+            used: load.belief.usage(now, self.strain, self.signs.p_unhealthy()).name(),
             since_failure: load.belief.since_failure(now),
             rate_limit: load.said.pace.limit(),
         }
@@ -194,7 +194,7 @@
             return;
         }
         self.refreshed = now;
-        let rest = self.signs.share();
+        let rest = self.signs.p_unhealthy();
         let in_use = self.loads.iter().filter(|it| it.belief.is_recent(now));
         self.signs.refresh(in_use.map(|it| it.belief.p_unhealthy(now, rest)));
     }
@@ -206,7 +206,7 @@
 
     fn believe(&mut self, now: Time, it: Observation) {
         let ratio = self.ratio(&it);
-        let rest = self.signs.share();
+        let rest = self.signs.p_unhealthy();
         let belief = &mut self.loads[it.endpoint].belief;
         let before = belief.usage(now, Pressure::None, rest);
         belief.observe(now, it.kind, it.reporter, it.elapsed, ratio, rest);
@@ -233,7 +233,7 @@
     fn ratio(&self, it: &Observation) -> f64 {
         let baseline = &self.judge.baseline;
         match it.kind.is_silence() {
-            true => self.signs.silence(baseline.still_open(it.route, it.elapsed)),
+            true => self.signs.silence_ratio(baseline.still_open(it.route, it.elapsed)),
             false => self.signs.ratio(baseline, it.kind, it.route),
         }
     }
--- a/crates/policy/src/dispatcher/load.rs
+++ b/crates/policy/src/dispatcher/load.rs
@@ -6,9 +6,9 @@
 use super::said::Said;
 use crate::baseline::Baseline;
 use crate::belief::Belief;
+use crate::likelihoods::Likelihoods;
 use crate::permit::{Ask, PermitId};
 use crate::rendezvous::stable_hash;
-use crate::signs::Signs;
 use crate::suspects::RequestKey;
 use crate::time::Time;
 use crate::topology::Distance;
@@ -179,10 +179,10 @@
     }
 
     /// How much more likely it is that no request on it has been answered by now if it is sick.
-    pub(super) fn silence(&self, now: Time, baseline: &Baseline, signs: &Signs) -> f64 {
+    pub(super) fn silence(&self, now: Time, baseline: &Baseline, signs: &Likelihoods) -> f64 {
         let waiting = self.open.iter().filter(|it| it.progress == Progress::AtWork);
         let ratio =
-            |it: &OpenSend| signs.silence(baseline.still_open(it.route, now.since(it.since)));
+            |it: &OpenSend| signs.silence_ratio(baseline.still_open(it.route, now.since(it.since)));
         waiting.map(ratio).product()
     }
 }
--- a/crates/policy/src/signs.rs
+++ b/crates/policy/src/likelihoods.rs
@@ -39,22 +39,22 @@
 
 /// The outcome likelihoods learned for one service.
 #[derive(Clone, Debug)]
-pub(crate) struct Signs {
+pub(crate) struct Likelihoods {
     /// Outcomes at unhealthy endpoints, indexed by `End`.
     at_sick: [f64; 3],
     /// Share of unhealthy endpoints.
     share: f64,
 }
 
-impl Default for Signs {
+impl Default for Likelihoods {
     fn default() -> Self {
         Self { at_sick: [0.0; 3], share: PRIOR_SICK }
     }
 }
 
-impl Signs {
+impl Likelihoods {
     /// Probability that an endpoint without recent outcomes is unhealthy.
-    pub(crate) fn share(&self) -> f64 {
+    pub(crate) fn p_unhealthy(&self) -> f64 {
         self.share
     }
 
@@ -72,7 +72,7 @@
 
     /// Likelihood ratio (unhealthy against healthy) of a request that is still open, where the
     /// share `still_open` of the requests at healthy endpoints is open at that age.
-    pub(crate) fn silence(&self, still_open: f64) -> f64 {
+    pub(crate) fn silence_ratio(&self, still_open: f64) -> f64 {
         let silent = self.part(End::Silent);
         (silent + (1.0 - silent) * still_open) / still_open
     }
--- a/crates/policy/src/tests/signs.rs
+++ b/crates/policy/src/tests/likelihoods.rs
@@ -5,15 +5,15 @@
 use crate::Kind;
 use crate::baseline::{Baseline, RouteTerms};
 use crate::class::Class;
-use crate::signs::Signs;
+use crate::likelihoods::Likelihoods;
 
 use super::fixture::{ROUTE, TERMS};
 
 const OUTCOMES: usize = 300;
 
 /// The likelihoods of a service whose unhealthy endpoints end requests with `kind`.
-fn learned(kind: Kind) -> Signs {
-    let mut signs = Signs::default();
+fn learned(kind: Kind) -> Likelihoods {
+    let mut signs = Likelihoods::default();
     for _ in 0..OUTCOMES {
         signs.learn(kind, 0.9);
         signs.learn(Kind::Answered, 0.02);
@@ -22,18 +22,18 @@
 }
 
 /// Likelihood ratio of an outcome on a route without samples.
-fn ratio(signs: &Signs, kind: Kind) -> f64 {
+fn ratio(signs: &Likelihoods, kind: Kind) -> f64 {
     let mut baseline = Baseline::default();
     baseline.retain_routes(&[TERMS]);
     match kind {
-        Kind::TimedOut => signs.silence(baseline.still_open(ROUTE, TERMS.objective * 2)),
+        Kind::TimedOut => signs.silence_ratio(baseline.still_open(ROUTE, TERMS.objective * 2)),
         it => signs.ratio(&baseline, it, ROUTE),
     }
 }
 
 #[test]
 fn a_service_learns_how_its_endpoints_fail() {
-    let nothing_known = Signs::default();
+    let nothing_known = Likelihoods::default();
     for (kind, other) in [(Kind::Failed, Kind::TimedOut), (Kind::TimedOut, Kind::Failed)] {
         let signs = learned(kind);
         assert!(ratio(&signs, kind) > 2.0 * ratio(&nothing_known, kind), "{kind:?}");
@@ -45,9 +45,9 @@
 #[test]
 fn the_share_of_sick_endpoints_follows_the_service_within_bounds() {
     let share_after = |sick: &[f64]| {
-        let mut signs = Signs::default();
+        let mut signs = Likelihoods::default();
         (0..2_000).for_each(|_| signs.refresh(sick.iter().copied()));
-        signs.share()
+        signs.p_unhealthy()
     };
     assert!(share_after(&[0.0; 30]) < 0.06);
     let half = [[0.95; 10], [0.01; 10]].concat();
@@ -67,12 +67,12 @@
         baseline.add_failed(ROUTE, 0.8);
         baseline.refresh(0.99);
     }
-    let signs = Signs::default();
-    assert!(signs.silence(baseline.still_open(ROUTE, limit)) < 2.0);
+    let signs = Likelihoods::default();
+    assert!(signs.silence_ratio(baseline.still_open(ROUTE, limit)) < 2.0);
     assert!(signs.ratio(&baseline, Kind::Failed, ROUTE) < 3.0);
     assert_eq!(baseline.class_of(Kind::TimedOut, ROUTE, limit), None);
     // The evidence of the other route's requests is unchanged.
-    assert!(signs.silence(baseline.still_open(other.id, limit)) > 20.0);
+    assert!(signs.silence_ratio(baseline.still_open(other.id, limit)) > 20.0);
     assert!(
         baseline.class_of(Kind::TimedOut, other.id, limit + Duration::from_millis(1)).is_some()
     );
