--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -28,9 +28,9 @@
 use crate::baseline::RouteTerms;
 use crate::belief::{PROBE_AFTER, Pressure};
 use crate::budget::{Budget, BudgetLimits, RepeatsReport, Spend};
-use crate::judge::Judge;
 use crate::likelihoods::Likelihoods;
 use crate::observation::{Kind, Observation, Reporter};
+use crate::outlier::OutlierDetector;
 use crate::permit::{Ask, Grant, PermitId, Reply, SendKind, Settled, Tier};
 use crate::queue::Queue;
 use crate::rate_limit::RateLimit;
@@ -132,7 +132,7 @@
 /// Slots and verdicts of one service on one node.
 #[derive(Debug)]
 pub struct Dispatcher {
-    judge: Judge,
+    judge: OutlierDetector,
     signs: Likelihoods,
     /// When the signs were last refreshed.
     refreshed: Time,
@@ -189,7 +189,7 @@
     /// A dispatcher for `service`. `routes` lead to it.
     pub fn new(now: Time, service: &Service, routes: &[RouteTerms], budget: BudgetLimits) -> Self {
         let mut it = Self {
-            judge: Judge::new(now, service, routes),
+            judge: OutlierDetector::new(now, service, routes),
             signs: Likelihoods::default(),
             refreshed: now,
             loads: service.endpoints.iter().map(|it| Load::new(now, &it.failure_domain)).collect(),
@@ -462,7 +462,7 @@
 
     /// Forgets evidence and what is past its deadline after a pause of this process.
     pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
-        self.judge.forget();
+        self.judge.discard_evidence();
         self.tick(now, rng)
     }
 
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -216,7 +216,7 @@
                 it if it.is_silence() => "used last: a request had no answer",
                 _ => "used last: a request failed",
             };
-            self.judge.rotation.remark(it.endpoint, reason);
+            self.judge.rotation.note_event(it.endpoint, reason);
         }
         let sick = self.loads[it.endpoint].belief.p_unhealthy(now, rest);
         self.signs.learn(it.kind, sick);
--- a/crates/policy/src/dispatcher/notices.rs
+++ b/crates/policy/src/dispatcher/notices.rs
@@ -34,7 +34,7 @@
         match notice {
             Notice::RateLimit(limit) => self.loads[endpoint].said.pace.hear(now, now, limit),
             Notice::Leaving => {
-                self.judge.rotation.leave(now, endpoint);
+                self.judge.rotation.mark_leaving(now, endpoint);
                 !std::mem::replace(&mut self.loads[endpoint].said.is_leaving, true)
             }
             Notice::Rest(length) => {
@@ -77,7 +77,7 @@
     /// Takes endpoints that have said that they leave out of rotation, whatever the registry tells.
     pub(super) fn leave_as_said(&mut self, now: Time) {
         for i in (0..self.loads.len()).filter(|i| self.loads[*i].said.is_leaving) {
-            self.judge.rotation.leave(now, i);
+            self.judge.rotation.mark_leaving(now, i);
         }
     }
 
--- a/crates/policy/src/judge.rs
+++ b/crates/policy/src/outlier.rs
@@ -64,7 +64,7 @@
 
 /// The outlier detector of one service on one node.
 #[derive(Clone, Debug)]
-pub(crate) struct Judge {
+pub(crate) struct OutlierDetector {
     pub(crate) rotation: Rotation,
     pub(crate) baseline: Baseline,
     thresholds: Thresholds,
@@ -78,7 +78,7 @@
     pub(crate) reporter_faults: u64,
 }
 
-impl Judge {
+impl OutlierDetector {
     pub(crate) fn new(now: Time, service: &Service, routes: &[RouteTerms]) -> Self {
         let mut baseline = Baseline::default();
         baseline.retain_routes(routes);
@@ -171,7 +171,7 @@
 
     /// Drops all evidence, as after a pause of this process: requests may have failed because of
     /// the pause.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn discard_evidence(&mut self) {
         self.evidence.iter_mut().for_each(|it| *it = Evidence::default());
     }
 
--- a/crates/policy/src/judge/fault.rs
+++ b/crates/policy/src/outlier/fault.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::{Evidence, Judge, Recent};
+use super::{Evidence, OutlierDetector, Recent};
 use crate::observation::Reporter;
 use crate::rendezvous::NodeId;
 use crate::time::Time;
@@ -47,7 +47,7 @@
     Reporter(Reporter),
 }
 
-impl Judge {
+impl OutlierDetector {
     /// Attributes the bad outcomes of an endpoint.
     pub(super) fn whose_fault(&self, now: Time, endpoint: usize) -> Fault {
         let bad = self.recent(now, endpoint).filter(|it| it.class.is_bad()).map(|it| it.reporter);
--- a/crates/policy/src/rotation.rs
+++ b/crates/policy/src/rotation.rs
@@ -258,7 +258,7 @@
     }
 
     /// Reports an event of an endpoint that does not change its state.
-    pub fn remark(&mut self, i: usize, reason: &'static str) {
+    pub fn note_event(&mut self, i: usize, reason: &'static str) {
         let it = &self.endpoints[i];
         let (id, addr, state) = (it.id.clone(), it.addr, it.state);
         self.changes.push(Change { id, addr, from: state, to: state, reason });
@@ -332,7 +332,7 @@
 
     /// Marks an endpoint as leaving, whatever the registry states. The state lasts for the rest of
     /// the incarnation.
-    pub(crate) fn leave(&mut self, now: Time, i: usize) {
+    pub(crate) fn mark_leaving(&mut self, now: Time, i: usize) {
         if self.endpoints[i].state == State::Leaving {
             return;
         }
--- a/crates/policy/src/tests/fixture.rs
+++ b/crates/policy/src/tests/fixture.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use resources::{Bias, Endpoint, Floor, Priority, Service, Standing};
 
-use crate::judge::Judge;
+use crate::outlier::OutlierDetector;
 use crate::{
     Ask, BudgetLimits, Dispatcher, Kind, NodeId, Observation, PermitId, Reply, Reporter,
     RequestKey, RouteTerms, SendKind, State, Time,
@@ -74,7 +74,7 @@
 
 /// An outlier detector for one service, whose endpoints have exponential latencies of 10 ms.
 pub(super) struct Bench {
-    pub(super) judge: Judge,
+    pub(super) judge: OutlierDetector,
     pub(super) now: Time,
     pub(super) health: Vec<Health>,
     pub(super) heavy_tail: bool,
@@ -84,7 +84,7 @@
 impl Bench {
     pub(super) fn new(service: &Service) -> Self {
         Self {
-            judge: Judge::new(Time(0), service, &[TERMS]),
+            judge: OutlierDetector::new(Time(0), service, &[TERMS]),
             now: Time(0),
             health: vec![Health::Well; service.endpoints.len()],
             heavy_tail: false,
--- a/crates/policy/src/tests/floor.rs
+++ b/crates/policy/src/tests/floor.rs
@@ -55,7 +55,7 @@
             }
             Event::Good(_) => {}
             Event::Unhealthy(i) => self.rotation.eject(now, i % n, "test"),
-            Event::Leave(i) => self.rotation.leave(now, i % n),
+            Event::Leave(i) => self.rotation.mark_leaving(now, i % n),
             Event::Wait(ms) => self.now = now + Duration::from_millis(*ms),
             Event::Reconfigure(sizes, floor) => {
                 self.rotation.reconfigure(now, &service(sizes, *floor, Bias::Speed));
--- a/crates/policy/src/tests/verdicts.rs
+++ b/crates/policy/src/tests/verdicts.rs
@@ -188,6 +188,6 @@
     let mut bench = bench(Bias::Speed);
     (0..2).for_each(|_| bench.report(0, reporter(1), Health::Stalls(1.0)));
     assert!(bench.judge.score(0) > 0.0);
-    bench.judge.forget();
+    bench.judge.discard_evidence();
     assert_eq!(bench.judge.score(0), 0.0);
 }
