--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -35,10 +35,10 @@
 use crate::queue::Queue;
 use crate::rate_limit::RateLimit;
 use crate::rotation::{Change, EndpointStatus, Lives, Rotation, State};
-use crate::served::{Ending, Served};
 use crate::suspects::{RequestKey, Suspects};
 use crate::time::Time;
 use crate::topology::Topology;
+use crate::unserved::{Completion, UnservedShare};
 use congestion::Congestion;
 use load::Load;
 use overlap::{Overlap, Sent};
@@ -151,7 +151,7 @@
     budget: Budget,
     /// Repeats refused when that was last told.
     refused_before: u64,
-    served: Served,
+    served: UnservedShare,
     suspects: Suspects,
     /// A request that waits may have come to be rejected.
     has_rejected: bool,
@@ -202,7 +202,7 @@
             congestion: Congestion::default(),
             budget: Budget::new(now, budget),
             refused_before: 0,
-            served: Served::default(),
+            served: UnservedShare::default(),
             suspects: Suspects::default(),
             has_rejected: false,
             overlap: Overlap::default(),
@@ -329,7 +329,7 @@
             SendKind::Further if !ask.wait => return Reply::Full,
             SendKind::Further => {
                 self.counts.repeats_refused += 1;
-                self.served.note(now, Ending::Unserved);
+                self.served.note(now, Completion::Unserved);
                 return Reply::Refused { retry_after: self.mean_hold.max(MIN_RETRY_AFTER) };
             }
         }
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -11,8 +11,8 @@
 use crate::observation::{Kind, Observation};
 use crate::permit::{PermitId, Settled};
 use crate::rate_limit::RateLimit;
-use crate::served::Ending;
 use crate::time::Time;
+use crate::unserved::Completion;
 
 /// What is learned of the service's signs is refreshed this often.
 const REFRESH: Duration = Duration::from_millis(100);
@@ -110,7 +110,7 @@
 
     /// Counts requests that ended here without being served.
     pub(super) fn note_unserved(&mut self, now: Time, requests: usize) {
-        (0..requests).for_each(|_| self.served.note(now, Ending::Unserved));
+        (0..requests).for_each(|_| self.served.note(now, Completion::Unserved));
     }
 
     /// Takes over what another dispatcher of the same service knows of failures.
@@ -163,19 +163,19 @@
         match kind {
             Kind::Answered => {
                 self.counts.answered += 1;
-                self.served.note(now, Ending::Served);
+                self.served.note(now, Completion::Served);
             }
             Kind::Failed | Kind::Crashed if permit.is_last_send => {
                 self.counts.failed += 1;
-                self.served.note(now, Ending::Unserved);
+                self.served.note(now, Completion::Unserved);
             }
             Kind::TimedOut => {
                 self.counts.timed_out += 1;
-                self.served.note(now, Ending::Unserved);
+                self.served.note(now, Completion::Unserved);
             }
             Kind::Shed if permit.is_last_send && permit.is_further => {
                 self.counts.shed_last += 1;
-                self.served.note(now, Ending::Unserved);
+                self.served.note(now, Completion::Unserved);
             }
             _ => {}
         }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -22,10 +22,10 @@
 mod rendezvous;
 mod retry;
 mod rotation;
-mod served;
 mod suspects;
 mod time;
 mod topology;
+mod unserved;
 mod verdict;
 
 pub use allowance::{BucketReport, Buckets, Decision, Entrusted, OWNERS, owner_of, owners};
--- a/crates/policy/src/served.rs
+++ b/crates/policy/src/unserved.rs
@@ -30,7 +30,7 @@
 
 /// Whether a request was served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ending {
+pub(crate) enum Completion {
     Served,
     Unserved,
 }
@@ -46,23 +46,23 @@
 
 /// Counts of served and unserved requests over both windows.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Served {
+pub(crate) struct UnservedShare {
     lately: Decayed,
     latest: Decayed,
 }
 
-impl Default for Served {
+impl Default for UnservedShare {
     fn default() -> Self {
         Self { lately: Decayed::over(MEMORY), latest: Decayed::over(LATEST) }
     }
 }
 
-impl Served {
+impl UnservedShare {
     /// Records one request.
-    pub(crate) fn note(&mut self, now: Time, ending: Ending) {
+    pub(crate) fn note(&mut self, now: Time, ending: Completion) {
         let (served, unserved) = match ending {
-            Ending::Served => (1.0, 0.0),
-            Ending::Unserved => (0.0, 1.0),
+            Completion::Served => (1.0, 0.0),
+            Completion::Unserved => (0.0, 1.0),
         };
         self.add(now, served, unserved);
     }
