--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -34,7 +34,7 @@
 use crate::permit::{Ask, Grant, PermitId, Reply, SendKind, Settled, Tier};
 use crate::queue::Queue;
 use crate::rate_limit::RateLimit;
-use crate::rotation::{Change, EndpointStatus, Lives, Rotation, State};
+use crate::rotation::{Change, EndpointStatus, Incarnations, Rotation, State};
 use crate::suspects::{RequestKey, Suspects};
 use crate::time::Time;
 use crate::topology::Topology;
@@ -258,7 +258,7 @@
     /// Follows a new configuration or a change of the endpoints. Permits on endpoints that stay are
     /// kept; those on one that has started again went with its life before.
     pub fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
-        let before = Lives::of(self.endpoints());
+        let before = Incarnations::of(self.endpoints());
         self.judge.reconfigure(now, service, routes);
         self.floor_share = floor_share(service);
         self.cold_rate = cold_rate(service);
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -16,7 +16,7 @@
 use crate::baseline::{Baseline, RouteTerms};
 use crate::class::Class;
 use crate::observation::{Kind, Observation, Reporter};
-use crate::rotation::{Lives, Rotation, State};
+use crate::rotation::{Incarnations, Rotation, State};
 use crate::time::Time;
 use crate::verdict::{Score, Thresholds, log_ratio};
 use fault::{Fault, Scope};
@@ -97,7 +97,7 @@
 
     /// Applies a new configuration; evidence about remaining endpoint incarnations is kept.
     pub(crate) fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
-        let before = Lives::of(self.rotation.endpoints());
+        let before = Incarnations::of(self.rotation.endpoints());
         let mut evidence = std::mem::take(&mut self.evidence);
         self.rotation.reconfigure(now, service);
         self.thresholds = Thresholds::of(service.bias);
--- a/crates/policy/src/rotation.rs
+++ b/crates/policy/src/rotation.rs
@@ -136,9 +136,9 @@
 /// rollout. Searching the list for each of 720 endpoints stalled nodes with a tenth of a core for
 /// 0.45 s.
 #[derive(Debug)]
-pub(crate) struct Lives(FxHashMap<Name, (u64, usize)>);
+pub(crate) struct Incarnations(FxHashMap<Name, (u64, usize)>);
 
-impl Lives {
+impl Incarnations {
     pub(crate) fn of(endpoints: &[EndpointStatus]) -> Self {
         let all = endpoints.iter().enumerate();
         Self(all.map(|(i, it)| (it.id.clone(), (it.started_ms, i))).collect())
@@ -274,7 +274,7 @@
     pub fn reconfigure(&mut self, now: Time, service: &Service) {
         let old = std::mem::replace(self, Self::new(now, service));
         self.changes = old.changes;
-        let lives = Lives::of(&old.endpoints);
+        let lives = Incarnations::of(&old.endpoints);
         for it in &mut self.endpoints {
             let kept = lives.position(it).map(|i| &old.endpoints[i]);
             match kept {
