--- a/crates/policy/src/dispatcher/notices.rs
+++ b/crates/policy/src/dispatcher/notices.rs
@@ -32,7 +32,7 @@
             return false;
         }
         match notice {
-            Notice::RateLimit(limit) => self.loads[endpoint].said.pace.hear(now, now, limit),
+            Notice::RateLimit(limit) => self.loads[endpoint].said.pace.observe(now, now, limit),
             Notice::Leaving => {
                 self.judge.rotation.mark_leaving(now, endpoint);
                 !std::mem::replace(&mut self.loads[endpoint].said.is_leaving, true)
--- a/crates/policy/src/dispatcher/paced.rs
+++ b/crates/policy/src/dispatcher/paced.rs
@@ -24,7 +24,7 @@
     pub fn heard_limits(&self, now: Time) -> Vec<HeardLimit> {
         let all = self.endpoints().iter().zip(&self.loads);
         let mut told: Vec<_> =
-            all.filter_map(|(it, load)| load.said.pace.told(now, it.addr)).collect();
+            all.filter_map(|(it, load)| load.said.pace.observed_limit(now, it.addr)).collect();
         told.sort_by_key(|it| it.age_ms);
         told.truncate(Ask::MAX_LIMITS);
         told
@@ -36,7 +36,7 @@
         for it in &ask.limits {
             let all = self.judge.rotation.endpoints().iter().zip(&mut self.loads);
             for (_, load) in all.filter(|(status, _)| status.addr == it.endpoint) {
-                load.said.pace.hear(now, before(it.age_ms), Some(it.limit));
+                load.said.pace.observe(now, before(it.age_ms), Some(it.limit));
                 it.sent_ms.map(before).into_iter().for_each(|at| load.said.pace.asker_sent(at));
             }
         }
@@ -57,12 +57,12 @@
             let pace = &mut load.said.pace;
             if told != it.warm_up {
                 match it.warm_up.is_zero() {
-                    true => pace.warm(),
-                    false => pace.chill(now, rate, now + it.warm_up),
+                    true => pace.mark_warm(),
+                    false => pace.mark_cold(now, rate, now + it.warm_up),
                 }
             }
             if was_evacuated && !it.is_evacuated && !pace.is_cold(now) {
-                pace.chill(now, rate, now + self.warm_up);
+                pace.mark_cold(now, rate, now + self.warm_up);
             }
         }
     }
--- a/crates/policy/src/dispatcher/said.rs
+++ b/crates/policy/src/dispatcher/said.rs
@@ -5,7 +5,7 @@
 use resources::Name;
 use rustc_hash::FxHashMap;
 
-use crate::rate_limit::Pace;
+use crate::rate_limit::Pacer;
 use crate::rendezvous::NodeId;
 use crate::time::Time;
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Said {
     /// Its rate limit.
-    pub(super) pace: Pace,
+    pub(super) pace: Pacer,
     /// It leaves.
     pub(super) is_leaving: bool,
     pub(super) rests: Rests,
--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -54,7 +54,7 @@
 /// A dispatcher that takes over from another one does not know the sends of that one. Therefore at
 /// most one send is ever saved up, and askers report their own sends.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct Pacer {
     /// The limit that the endpoint has stated.
     limit: Option<RateLimit>,
     /// The rate for the cold endpoint, and until when it is cold.
@@ -68,7 +68,7 @@
     sent: Option<Time>,
 }
 
-impl Pace {
+impl Pacer {
     /// The limit that the endpoint has stated.
     pub(crate) fn limit(&self) -> Option<RateLimit> {
         self.limit
@@ -93,7 +93,7 @@
     }
 
     /// Marks the endpoint as cold until `until`.
-    pub(crate) fn chill(&mut self, now: Time, rate: RateLimit, until: Time) {
+    pub(crate) fn mark_cold(&mut self, now: Time, rate: RateLimit, until: Time) {
         if self.bound(now).is_none() {
             self.last = now;
         }
@@ -101,7 +101,7 @@
     }
 
     /// Marks the endpoint as warm.
-    pub(crate) fn warm(&mut self) {
+    pub(crate) fn mark_warm(&mut self) {
         self.cold = None;
     }
 
@@ -113,7 +113,7 @@
 
     /// Applies what an answer that arrived at `heard` stated, unless a later answer is known.
     /// Returns whether the limit changes.
-    pub(crate) fn hear(&mut self, now: Time, heard: Time, limit: Option<RateLimit>) -> bool {
+    pub(crate) fn observe(&mut self, now: Time, heard: Time, limit: Option<RateLimit>) -> bool {
         if self.heard.is_some_and(|it| it > heard) {
             return false;
         }
@@ -150,7 +150,7 @@
     }
 
     /// The stated limit in the form passed on to other nodes; `None` if it is too old.
-    pub(crate) fn told(&self, now: Time, endpoint: SocketAddr) -> Option<HeardLimit> {
+    pub(crate) fn observed_limit(&self, now: Time, endpoint: SocketAddr) -> Option<HeardLimit> {
         let (limit, age) = (self.limit?, now.since(self.heard?));
         let ms = |it: Duration| it.as_millis() as u32;
         let sent_ms = self.sent.map(|it| ms(now.since(it)));
--- a/crates/policy/src/tests/rate_limit.rs
+++ b/crates/policy/src/tests/rate_limit.rs
@@ -9,7 +9,7 @@
 use resources::{Bias, Service, Standing};
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
-use crate::rate_limit::Pace;
+use crate::rate_limit::Pacer;
 use crate::{
     Ask, Dispatcher, HeardLimit, Kind, NodeId, Notice, Precedence, RateLimit, Reply, Time,
 };
@@ -198,8 +198,8 @@
         per_s in 0.0..20.0_f64,
         pauses in prop::collection::vec(0..2_000_u64, 1..200),
     ) {
-        let mut pace = Pace::default();
-        pace.hear(at(0), at(0), limit(per_s));
+        let mut pace = Pacer::default();
+        pace.observe(at(0), at(0), limit(per_s));
         let mut now = at(0);
         let mut sent = Vec::new();
         for pause in pauses {
