--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use policy::{
-    Ask, Grant, HeardLimit, Kind, NodeId, PermitId, RateLimit, Rejection, Reply, Reporter,
+    Ask, Grant, Kind, NodeId, ObservedLimit, PermitId, RateLimit, Rejection, Reply, Reporter,
     RequestKey, SendKind, Tier,
 };
 use proptest::prelude::*;
@@ -16,9 +16,14 @@
 };
 
 /// A rate limit of the greatest encoded length.
-fn longest_limit() -> HeardLimit {
+fn longest_limit() -> ObservedLimit {
     let limit = RateLimit::from_per_second(f64::MAX).unwrap();
-    HeardLimit { endpoint: longest_info().addr, limit, age_ms: u32::MAX, sent_ms: Some(u32::MAX) }
+    ObservedLimit {
+        endpoint: longest_info().addr,
+        limit,
+        age_ms: u32::MAX,
+        sent_ms: Some(u32::MAX),
+    }
 }
 
 /// A position of the greatest encoded length.
--- a/crates/policy/src/dispatcher/paced.rs
+++ b/crates/policy/src/dispatcher/paced.rs
@@ -9,7 +9,7 @@
 use super::load::Load;
 use super::{Dispatcher, Precedence};
 use crate::permit::Ask;
-use crate::rate_limit::HeardLimit;
+use crate::rate_limit::ObservedLimit;
 use crate::time::Time;
 
 impl Dispatcher {
@@ -21,7 +21,7 @@
     }
 
     /// The rate limits that this node has heard of lately, the latest first.
-    pub fn heard_limits(&self, now: Time) -> Vec<HeardLimit> {
+    pub fn heard_limits(&self, now: Time) -> Vec<ObservedLimit> {
         let all = self.endpoints().iter().zip(&self.loads);
         let mut told: Vec<_> =
             all.filter_map(|(it, load)| load.said.pace.observed_limit(now, it.addr)).collect();
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -37,7 +37,7 @@
 pub use notice::Notice;
 pub use observation::{Kind, Observation, Reporter};
 pub use permit::{Ask, Doubt, Grant, PermitId, Places, Reply, SendKind, Settled, Tier};
-pub use rate_limit::{HeardLimit, RateLimit};
+pub use rate_limit::{ObservedLimit, RateLimit};
 pub use rendezvous::{NodeId, rank, rank_strong_first, stable_hash};
 pub use retry::{Attempt, Next, Outcome, next_step};
 pub use rotation::{Change, EndpointStatus, Rotation, State, domain_floors};
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::observation::Reporter;
-use crate::rate_limit::HeardLimit;
+use crate::rate_limit::ObservedLimit;
 use crate::rendezvous::NodeId;
 use crate::suspects::RequestKey;
 
@@ -81,7 +81,7 @@
     pub places: Option<Box<Places>>,
     /// Rate limits that the asker has observed. They inform a dispatcher that takes over of the
     /// limits already in effect.
-    pub limits: Vec<HeardLimit>,
+    pub limits: Vec<ObservedLimit>,
     /// Time left until the request's deadline.
     pub left: Duration,
     /// Whether the route's rules allow no further send after this one.
--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -38,7 +38,7 @@
 
 /// A rate limit that the asker of a slot has observed.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HeardLimit {
+pub struct ObservedLimit {
     /// Address of the endpoint.
     pub endpoint: SocketAddr,
     /// The limit.
@@ -150,11 +150,11 @@
     }
 
     /// The stated limit in the form passed on to other nodes; `None` if it is too old.
-    pub(crate) fn observed_limit(&self, now: Time, endpoint: SocketAddr) -> Option<HeardLimit> {
+    pub(crate) fn observed_limit(&self, now: Time, endpoint: SocketAddr) -> Option<ObservedLimit> {
         let (limit, age) = (self.limit?, now.since(self.heard?));
         let ms = |it: Duration| it.as_millis() as u32;
         let sent_ms = self.sent.map(|it| ms(now.since(it)));
-        let told = HeardLimit { endpoint, limit, age_ms: ms(age), sent_ms };
+        let told = ObservedLimit { endpoint, limit, age_ms: ms(age), sent_ms };
         (age < PASSED_ON_FOR).then_some(told)
     }
 }
--- a/crates/policy/src/tests/rate_limit.rs
+++ b/crates/policy/src/tests/rate_limit.rs
@@ -11,7 +11,7 @@
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
 use crate::rate_limit::Pacer;
 use crate::{
-    Ask, Dispatcher, HeardLimit, Kind, NodeId, Notice, Precedence, RateLimit, Reply, Time,
+    Ask, Dispatcher, Kind, NodeId, Notice, ObservedLimit, Precedence, RateLimit, Reply, Time,
 };
 
 const MS: u64 = 1_000;
@@ -145,7 +145,7 @@
 fn who_takes_over_goes_by_what_askers_were_told() {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
-    let heard = HeardLimit {
+    let heard = ObservedLimit {
         endpoint: service.endpoints[0].addr,
         limit: limit(1.0).unwrap(),
         age_ms: 100,
@@ -162,7 +162,7 @@
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
     it.noticed(at(5_000), NodeId(1), "i-1000", 0, Notice::RateLimit(None));
-    let heard = HeardLimit {
+    let heard = ObservedLimit {
         endpoint: service.endpoints[0].addr,
         limit: limit(1.0).unwrap(),
         age_ms: 300,
