--- a/crates/dappleway/src/control/allowances.rs
+++ b/crates/dappleway/src/control/allowances.rs
@@ -8,7 +8,7 @@
     OwnerPhase,
 };
 use operator::OrganisationReport;
-use policy::{Decision, Entrusted, NodeId, Time, owner_of, owners};
+use policy::{Decision, Delegation, NodeId, Time, owner_of, owners};
 use resources::{Allowance, Callers, Name};
 use rustc_hash::FxHashMap;
 use slog::{info, warn};
@@ -90,7 +90,7 @@
         from: NodeId,
         seq: u64,
         organisation: u64,
-        entrusted: &Entrusted,
+        entrusted: &Delegation,
     ) -> Decision {
         let Some(known_since) = self.known_since else { return Decision::NotYet };
         let phase = match now.since(known_since) {
@@ -133,7 +133,7 @@
             }
             // The size of the fleet, and so of a share, is not known before.
             AllowanceMessage::Entrust(it) if self.allowances.known_since.is_some() => {
-                self.allowances.owner.buckets.entrust(now, from, &it);
+                self.allowances.owner.buckets.delegate(now, from, &it);
             }
             AllowanceMessage::Entrust(_) => {}
         }
@@ -155,7 +155,7 @@
         if known_since.is_some() {
             client.know_fleet(now, owners);
             let entrusted = client.entrusted(now, owners, self.me.node);
-            owner.buckets.entrust(now, self.me.node, &entrusted);
+            owner.buckets.delegate(now, self.me.node, &entrusted);
         }
         for action in client.tick(now, owners) {
             self.allowance_action(now, action);
--- a/crates/fleet/src/allowances.rs
+++ b/crates/fleet/src/allowances.rs
@@ -7,7 +7,7 @@
 mod client;
 mod owner;
 
-use policy::{Decision, Entrusted};
+use policy::{Decision, Delegation};
 use serde::{Deserialize, Serialize};
 
 pub use client::{AllowanceAction, AllowanceClient, AllowanceOutcome};
@@ -23,7 +23,7 @@
         /// Hash of the organisation's name.
         organisation: u64,
         /// The owners that the sender asks now.
-        entrusted: Entrusted,
+        entrusted: Delegation,
     },
     /// Answers an ask.
     Answer {
@@ -33,5 +33,5 @@
         decision: Decision,
     },
     /// Names the owners that the sender asks.
-    Entrust(Entrusted),
+    Entrust(Delegation),
 }
--- a/crates/fleet/src/allowances/client.rs
+++ b/crates/fleet/src/allowances/client.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::{Decision, Entrusted, NodeId, Time, owner_of};
+use policy::{Decision, Delegation, NodeId, Time, owner_of};
 use rustc_hash::FxHashMap;
 
 use super::AllowanceMessage;
@@ -38,7 +38,7 @@
         /// Hash of the organisation's name.
         organisation: u64,
         /// The owners that this node asks: itself among others, or itself alone.
-        entrusted: Entrusted,
+        entrusted: Delegation,
     },
     /// Send a message.
     Send(NodeId, AllowanceMessage),
@@ -115,10 +115,10 @@
     }
 
     /// What this node says to an owner.
-    pub fn entrusted(&self, now: Time, owners: &[NodeId], to: NodeId) -> Entrusted {
+    pub fn entrusted(&self, now: Time, owners: &[NodeId], to: NodeId) -> Delegation {
         let is_first =
             self.first.as_ref().is_some_and(|(it, until)| now < *until && it.contains(&to));
-        Entrusted { owners: owners.to_vec(), life: self.life, is_first }
+        Delegation { owners: owners.to_vec(), incarnation: self.life, is_first }
     }
 
     /// Whether nothing is under way.
--- a/crates/fleet/src/allowances/owner.rs
+++ b/crates/fleet/src/allowances/owner.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::{Buckets, Decision, Entrusted, NodeId, Time};
+use policy::{Buckets, Decision, Delegation, NodeId, Time};
 use resources::Allowance;
 use rustc_hash::FxHashMap;
 
@@ -45,11 +45,11 @@
         from: NodeId,
         seq: u64,
         bucket: (u64, Option<Allowance>),
-        entrusted: &Entrusted,
+        entrusted: &Delegation,
         phase: OwnerPhase,
     ) -> Decision {
         self.forget(now);
-        self.buckets.entrust(now, from, entrusted);
+        self.buckets.delegate(now, from, entrusted);
         if let Some((decision, _)) = self.answered.get(&(from, seq)) {
             return *decision;
         }
--- a/crates/fleet/src/tests/allowances.rs
+++ b/crates/fleet/src/tests/allowances.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::{Decision, Entrusted, NodeId, Time, owner_of};
+use policy::{Decision, Delegation, NodeId, Time, owner_of};
 use resources::Allowance;
 
 use crate::{
@@ -126,10 +126,10 @@
     let mut owner = AllowanceOwner::new(ME);
     owner.buckets.set_nodes(ms(0), 1);
     let bucket = (ORGANISATION, Some(ALLOWANCE));
-    let mine = Entrusted { owners: vec![ME], ..Entrusted::default() };
-    owner.buckets.entrust(ms(0), ME, &mine);
+    let mine = Delegation { owners: vec![ME], ..Delegation::default() };
+    owner.buckets.delegate(ms(0), ME, &mine);
     for it in 1..=4 {
-        owner.buckets.entrust(ms(it * 500), ME, &mine);
+        owner.buckets.delegate(ms(it * 500), ME, &mine);
     }
     let mut granted = 0;
     for seq in 0..40 {
@@ -149,7 +149,7 @@
         NodeId(9),
         1,
         (ORGANISATION, None),
-        &Entrusted::default(),
+        &Delegation::default(),
         OwnerPhase::Settled,
     );
     assert_eq!(decision, Decision::Granted);
--- a/crates/fleet/tests/allowances_after_a_return.rs
+++ b/crates/fleet/tests/allowances_after_a_return.rs
@@ -16,7 +16,7 @@
     AllowanceAction, AllowanceClient, AllowanceMessage, AllowanceOutcome, AllowanceOwner,
     OwnerPhase,
 };
-use policy::{Decision, Entrusted, NodeId, Time, owners};
+use policy::{Decision, Delegation, NodeId, Time, owners};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use resources::Allowance;
@@ -87,7 +87,7 @@
         to: usize,
         seq: u64,
         organisation: u64,
-        entrusted: &Entrusted,
+        entrusted: &Delegation,
     ) -> Decision {
         let (now, from) = (Time(self.now), NodeId(from));
         match self.now {
@@ -149,7 +149,7 @@
                 self.send(to as u64, from, AllowanceMessage::Answer { seq, decision });
             }
             AllowanceMessage::Entrust(it) => {
-                self.nodes[to].1.buckets.entrust(now, NodeId(from), &it);
+                self.nodes[to].1.buckets.delegate(now, NodeId(from), &it);
             }
         }
     }
@@ -161,7 +161,7 @@
             let (client, owner) = &mut self.nodes[i];
             client.know_fleet(now, &owners);
             let entrusted = client.entrusted(now, &owners, NodeId(i as u64));
-            owner.buckets.entrust(now, NodeId(i as u64), &entrusted);
+            owner.buckets.delegate(now, NodeId(i as u64), &entrusted);
         }
         let actions = self.nodes[i].0.tick(now, &owners);
         actions.into_iter().for_each(|it| self.act(i, it));
--- a/crates/policy/src/allowance.rs
+++ b/crates/policy/src/allowance.rs
@@ -51,11 +51,11 @@
 
 /// The message by which a node delegates its shares of all allowances.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Entrusted {
+pub struct Delegation {
     /// The owners that the node asks.
     pub owners: Vec<NodeId>,
     /// Distinguishes this process of the node from earlier ones.
-    pub life: u32,
+    pub incarnation: u32,
     /// Whether the process started recently and names owners to this recipient for the first time.
     pub is_first: bool,
 }
@@ -112,8 +112,8 @@
     }
 
     /// Applies that `node` delegates its shares from now on.
-    pub fn entrust(&mut self, now: Time, node: NodeId, it: &Entrusted) {
-        self.shares.entrust(now, node, it);
+    pub fn delegate(&mut self, now: Time, node: NodeId, it: &Delegation) {
+        self.shares.delegate(now, node, it);
     }
 
     /// Decides on one request of an organisation.
--- a/crates/policy/src/allowance/shares.rs
+++ b/crates/policy/src/allowance/shares.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Entrusted, owner_of};
+use super::{Delegation, owner_of};
 use crate::rendezvous::NodeId;
 use crate::time::Time;
 
@@ -78,7 +78,7 @@
     }
 
     /// Applies a delegation by `node`.
-    pub(super) fn entrust(&mut self, now: Time, node: NodeId, it: &Entrusted) {
+    pub(super) fn delegate(&mut self, now: Time, node: NodeId, it: &Delegation) {
         let part = self.part(&it.owners);
         let known = self.holders.get(&node).copied();
         if let Some(it) = known {
@@ -87,10 +87,10 @@
         let is_held = known.is_some_and(|it| it.part == part && it.is_held(now));
         let may_bring = known.is_none_or(|it| now.since(it.brought) >= BRINGS_EVERY);
         let before = known.and_then(|it| it.first_life);
-        let brings_first = it.is_first && before != Some(it.life);
+        let brings_first = it.is_first && before != Some(it.incarnation);
         let brings = brings_first || (!is_held && may_bring);
         let brought = if brings { now } else { known.map_or(now, |it| it.brought) };
-        let first_life = if brings_first { Some(it.life) } else { before };
+        let first_life = if brings_first { Some(it.incarnation) } else { before };
         self.holders
             .insert(node, Holder { first_life, part, heard: now, counted_to: now, brought });
         self.set_nodes(now, self.nodes);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -28,7 +28,7 @@
 mod unserved;
 mod verdict;
 
-pub use allowance::{BucketReport, Buckets, Decision, Entrusted, OWNERS, owner_of, owners};
+pub use allowance::{BucketReport, Buckets, Decision, Delegation, OWNERS, owner_of, owners};
 pub use baseline::RouteTerms;
 pub use budget::{BudgetLimits, RepeatsReport};
 pub use dispatcher::{
--- a/crates/policy/src/tests/allowance.rs
+++ b/crates/policy/src/tests/allowance.rs
@@ -9,7 +9,7 @@
 use resources::Allowance;
 
 use super::fixture::SECOND;
-use crate::{Buckets, Decision, Entrusted, NodeId, Time, owner_of, owners};
+use crate::{Buckets, Decision, Delegation, NodeId, Time, owner_of, owners};
 
 const MS: u64 = 1_000;
 /// Length of the windows of the availability target, in microseconds.
@@ -171,11 +171,12 @@
         }
         let is_lately = node.started.is_some_and(|at| now < at + FOUND_ALL + 3_000 * MS);
         let named = node.first.as_ref().is_some_and(|it| it.contains(&NodeId(to as u64)));
-        let entrusted = Entrusted { owners, life: node.lives, is_first: is_lately && named };
+        let entrusted =
+            Delegation { owners, incarnation: node.lives, is_first: is_lately && named };
         let size = self.nodes.len();
         let buckets = &mut self.nodes[to].buckets;
         buckets.set_nodes(Time(now), size);
-        buckets.entrust(Time(now), NodeId(from as u64), &entrusted);
+        buckets.delegate(Time(now), NodeId(from as u64), &entrusted);
     }
 
     /// Whether a request of an organisation that arrives at node `i` may run.
@@ -461,8 +462,8 @@
     let mut refused = 0;
     for i in 0..40 {
         let now = Time(i * 1_000);
-        let mine = Entrusted { owners: vec![NodeId(1)], ..Entrusted::default() };
-        buckets.entrust(now, NodeId(1), &mine);
+        let mine = Delegation { owners: vec![NodeId(1)], ..Delegation::default() };
+        buckets.delegate(now, NodeId(1), &mine);
         if let Decision::Exhausted { next, retry_after } = buckets.ask(now, 7, allowance) {
             assert!(next <= retry_after && next <= Duration::from_millis(300), "{next:?}");
             assert!(
