--- a/crates/caller/src/notice.rs
+++ b/crates/caller/src/notice.rs
@@ -23,7 +23,7 @@
     }
     if res.status() == StatusCode::SERVICE_UNAVAILABLE {
         match headers::rest_of(res.headers()) {
-            Ok(rest) => rest.into_iter().for_each(|it| open.noticed(Notice::Rest(it))),
+            Ok(rest) => rest.into_iter().for_each(|it| open.noticed(Notice::Backoff(it))),
             Err(e) => trace::bad_answer(&cx.log, &open.grant().endpoint, &e),
         }
     }
--- a/crates/caller/src/open.rs
+++ b/crates/caller/src/open.rs
@@ -56,7 +56,7 @@
     }
 
     fn ending(&self) -> Kind {
-        if self.0.load(Ordering::Relaxed) { Kind::Beaten } else { Kind::Abandoned }
+        if self.0.load(Ordering::Relaxed) { Kind::LostToHedge } else { Kind::Abandoned }
     }
 }
 
--- a/crates/caller/tests/travelling.rs
+++ b/crates/caller/tests/travelling.rs
@@ -215,7 +215,7 @@
     check(&[staying], LONG, expect!["Answered"]).await;
     let resting =
         "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\nretry-after: 2.5\r\n\r\n";
-    check(&[resting], LONG, expect!["Rest(2.5s) Shed"]).await;
+    check(&[resting], LONG, expect!["Backoff(2.5s) Shed"]).await;
     let some_day =
         "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\nretry-after: x\r\n\r\n";
     check(&[some_day], LONG, expect!["Shed"]).await;
--- a/crates/dappleway/src/control/dispatch_log.rs
+++ b/crates/dappleway/src/control/dispatch_log.rs
@@ -104,7 +104,7 @@
                 "per_s" => limit.map(RateLimit::per_second)),
             Notice::Leaving => info!(self.log, "endpoint says that it leaves";
                 "service" => service, "endpoint" => endpoint, "dispatched_here" => dispatched_here),
-            Notice::Rest(length) => info!(self.log, "endpoint asks for rest";
+            Notice::Backoff(length) => info!(self.log, "endpoint asks for rest";
                 "service" => service, "endpoint" => endpoint, "dispatched_here" => dispatched_here,
                 "node" => self.addr_of(it.by), "ms" => length.as_millis() as u64),
         }
--- a/crates/fleet/tests/rests.rs
+++ b/crates/fleet/tests/rests.rs
@@ -16,7 +16,7 @@
 
 /// A third of the endpoints turn all requests away for ten seconds; the service has slots to spare.
 fn resting() -> Trouble {
-    let says = Says { endpoints: 5, notice: Notice::Rest(REST), from: FROM, until: UNTIL };
+    let says = Says { endpoints: 5, notice: Notice::Backoff(REST), from: FROM, until: UNTIL };
     Trouble {
         rate: 3.2,
         slots: 3,
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -612,7 +612,7 @@
         if reached > 0 {
             self.repeats.push(self.now);
         }
-        let is_turned_away = matches!(self.said_by(endpoint), Some(Notice::Rest(_)));
+        let is_turned_away = matches!(self.said_by(endpoint), Some(Notice::Backoff(_)));
         let event = match self.now >= self.trouble.fails_from || is_turned_away {
             true => Event::Failed { node: i, id, place },
             false => Event::Began { node: i, id, place },
@@ -653,7 +653,7 @@
         if said.is_some() {
             self.told.entry((i, open.endpoint)).or_insert(self.now);
         }
-        if matches!(said, Some(Notice::Rest(_))) {
+        if matches!(said, Some(Notice::Backoff(_))) {
             self.asked_for_rest.push((self.now, i, open.endpoint));
         }
         let unlimited = open.is_rate_limited.then_some(Notice::RateLimit(None));
--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -118,7 +118,7 @@
         }
         match kind {
             Kind::Answered if !is_late => Some(Class::Good),
-            Kind::Answered | Kind::Beaten => Some(Class::Late),
+            Kind::Answered | Kind::LostToHedge => Some(Class::Late),
             Kind::TimedOut if elapsed > self.stall_after(route) => Some(Class::Stalled),
             Kind::Abandoned | Kind::TimedOut => is_late.then_some(Class::Late),
             Kind::Stalled => Some(Class::Stalled),
--- a/crates/policy/src/belief.rs
+++ b/crates/policy/src/belief.rs
@@ -151,7 +151,7 @@
                 }
             }
             Kind::Failed | Kind::Crashed => self.fail(now, now, ratio, rest),
-            Kind::Stalled | Kind::Beaten | Kind::TimedOut | Kind::Abandoned => {
+            Kind::Stalled | Kind::LostToHedge | Kind::TimedOut | Kind::Abandoned => {
                 self.wait_in_vain(now, elapsed, ratio, rest);
             }
             Kind::Unreachable if self.is_unreachable(reporter) => self.fail(now, now, ratio, rest),
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -221,7 +221,7 @@
         let sick = self.loads[it.endpoint].belief.p_unhealthy(now, rest);
         self.signs.learn(it.kind, sick);
         match it.kind {
-            Kind::TimedOut | Kind::Beaten | Kind::Abandoned => {
+            Kind::TimedOut | Kind::LostToHedge | Kind::Abandoned => {
                 self.judge.baseline.add_unanswered(it.route, it.elapsed, 1.0 - sick);
             }
             Kind::Failed | Kind::Crashed => self.judge.baseline.add_failed(it.route, 1.0 - sick),
--- a/crates/policy/src/dispatcher/notices.rs
+++ b/crates/policy/src/dispatcher/notices.rs
@@ -37,7 +37,7 @@
                 self.judge.rotation.mark_leaving(now, endpoint);
                 !std::mem::replace(&mut self.loads[endpoint].said.is_leaving, true)
             }
-            Notice::Rest(length) => {
+            Notice::Backoff(length) => {
                 let load = &mut self.loads[endpoint];
                 load.full_until = load.full_until.max(now + length.min(MAX_FULL));
                 load.said.rests.ask(now, by, length)
--- a/crates/policy/src/likelihoods.rs
+++ b/crates/policy/src/likelihoods.rs
@@ -82,7 +82,7 @@
         let end = match kind {
             Kind::Answered => End::Answered,
             Kind::Failed | Kind::Crashed => End::Failed,
-            Kind::TimedOut | Kind::Beaten => End::Silent,
+            Kind::TimedOut | Kind::LostToHedge => End::Silent,
             Kind::Unreachable | Kind::Shed | Kind::Abandoned | Kind::Stalled => return,
         };
         if sick > 0.5 {
--- a/crates/policy/src/notice.rs
+++ b/crates/policy/src/notice.rs
@@ -15,5 +15,5 @@
     /// The endpoint is leaving and accepts no new requests.
     Leaving,
     /// The node that received the answer shall send the endpoint nothing for this long.
-    Rest(Duration),
+    Backoff(Duration),
 }
--- a/crates/policy/src/observation.rs
+++ b/crates/policy/src/observation.rs
@@ -24,7 +24,7 @@
     /// Given up by the reporter's side while still open, as when the caller has disconnected.
     Abandoned,
     /// Given up because a hedge that was sent later was answered first.
-    Beaten,
+    LostToHedge,
     /// No answer until the deadline of the request.
     TimedOut,
 }
@@ -32,7 +32,7 @@
 impl Kind {
     /// Whether the request is open, or was given up, without an answer.
     pub fn is_silence(self) -> bool {
-        matches!(self, Self::Stalled | Self::Beaten | Self::TimedOut | Self::Abandoned)
+        matches!(self, Self::Stalled | Self::LostToHedge | Self::TimedOut | Self::Abandoned)
     }
 }
 
--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -368,9 +368,9 @@
         it.observe(Time(0), &service.endpoints[0].id, seen);
     };
     see(&mut dispatcher, 1, Kind::Abandoned, long / 20);
-    see(&mut dispatcher, 2, Kind::Beaten, long);
+    see(&mut dispatcher, 2, Kind::LostToHedge, long);
     assert_eq!(dispatcher.set_back(Time(0)).count(), 0, "one alone is usual");
-    (3..5).for_each(|node| see(&mut dispatcher, node, Kind::Beaten, long));
+    (3..5).for_each(|node| see(&mut dispatcher, node, Kind::LostToHedge, long));
     assert_eq!(dispatcher.set_back(Time(0)).count(), 1);
 }
 
--- a/crates/policy/src/tests/notices.rs
+++ b/crates/policy/src/tests/notices.rs
@@ -34,7 +34,7 @@
 #[test]
 fn a_node_that_is_asked_for_rest_sends_nothing_until_it_is_over() {
     let (mut it, mut rng) = dispatcher(&service(&[1], 1, Bias::Balanced));
-    it.noticed(Time(0), NodeId(1), "i-1000", 0, Notice::Rest(REST));
+    it.noticed(Time(0), NodeId(1), "i-1000", 0, Notice::Backoff(REST));
     for ms in [0, 500, 1_500, 2_900] {
         let now = Time(0) + Duration::from_millis(ms);
         assert_eq!(it.ask(now, ask_of(1, ms), &mut rng), Reply::Full, "{ms}");
@@ -58,7 +58,7 @@
     let (it, _) = after_a_lapse(Notice::Leaving);
     assert!(it.is_closed(back_at, NodeId(1), "i-1000", 0));
     assert_eq!(it.endpoints()[0].state, State::Leaving);
-    let (it, _) = after_a_lapse(Notice::Rest(REST));
+    let (it, _) = after_a_lapse(Notice::Backoff(REST));
     assert!(it.is_closed(back_at, NodeId(1), "i-1000", 0));
     let limit = RateLimit::from_per_second(2.0);
     let (it, _) = after_a_lapse(Notice::RateLimit(limit));
@@ -99,7 +99,7 @@
     for standing in STANDINGS {
         let free = sends.iter().filter(|(_, ask)| reaches(standing, None, ask)).count();
         assert!(free > 0, "{}: nothing goes there in any case", standing.0);
-        for notice in [Notice::Leaving, Notice::Rest(REST), limit] {
+        for notice in [Notice::Leaving, Notice::Backoff(REST), limit] {
             for (name, ask) in &sends {
                 let is_sent = reaches(standing, Some(notice), ask);
                 assert!(!is_sent, "{}, {notice:?}: {name}", standing.0);
--- a/crates/policy/src/tests/silence.rs
+++ b/crates/policy/src/tests/silence.rs
@@ -23,7 +23,7 @@
         });
         dispatcher.set_back(Time(0)).count()
     };
-    for kind in [Kind::TimedOut, Kind::Abandoned, Kind::Beaten, Kind::Stalled] {
+    for kind in [Kind::TimedOut, Kind::Abandoned, Kind::LostToHedge, Kind::Stalled] {
         assert_eq!(set_back_after(kind, TERMS.objective * 2), 1, "{kind:?}");
         // Too little time was left for the requests, or their callers disconnected early.
         assert_eq!(set_back_after(kind, TERMS.objective / 20), 0, "{kind:?}");
