--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -291,7 +291,7 @@
         let service = wish.service;
         let ask = Ask { left: wish.deadline.since(now), ..wish.ask.clone() };
         wish.ask.send = ask.send.again();
-        let ask = Ask { brings_part: self.brings_part(now, service, place), ..ask };
+        let ask = Ask { brings_share: self.brings_share(now, service, place), ..ask };
         match place {
             Place::Peer(node) => Action::Send(node, PermitMessage::Ask { service, ask }),
             Place::Own => Action::AskHere(place, service, ask),
@@ -319,7 +319,7 @@
 
     /// Whether this node's part of the budget is spent at `place`. It moves there only when the place before
     /// has not been asked for a window.
-    fn brings_part(&mut self, now: Time, service: u64, place: Place) -> bool {
+    fn brings_share(&mut self, now: Time, service: u64, place: Place) -> bool {
         let known = self.parts.get(&service);
         let is_elsewhere =
             known.is_some_and(|(it, at)| *it != place && now.since(*at) < self.window);
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -151,7 +151,7 @@
     }
 
     /// Records that `node` assigns its share to this node.
-    pub fn hold_part(&mut self, now: Time, node: NodeId) {
+    pub fn hold_share(&mut self, now: Time, node: NodeId) {
         self.accrue(now);
         let before = self.part();
         self.askers.insert(node, now);
@@ -176,7 +176,7 @@
     }
 
     /// Cancels a reservation, because the send goes out now or never.
-    pub fn give_back(&mut self) {
+    pub fn cancel_reservation(&mut self) {
         self.reserved -= 1;
     }
 
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -312,8 +312,8 @@
             return Reply::Rejected { retry_after };
         }
         self.hear_limits(now, &ask);
-        if ask.brings_part {
-            self.budget.hold_part(now, ask.reporter.node);
+        if ask.brings_share {
+            self.budget.hold_share(now, ask.reporter.node);
         }
         match ask.send {
             SendKind::First => {
--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -272,7 +272,7 @@
                 continue;
             }
             let is_closed = load.said.is_closed_to(now, ask.reporter.node);
-            if is_closed || ask.bars(load.failure_domain) || ask.closed.contains(&look.addr) {
+            if is_closed || ask.excludes(load.failure_domain) || ask.closed.contains(&look.addr) {
                 continue;
             }
             let Some(tier) = self.tier(look, ask, distance) else { continue };
@@ -428,17 +428,17 @@
         let last = is_suspect || usage == Use::Last || is_out_of_use;
         // Work that can be sent again loses little by finding out if an endpoint is well again, and a
         // recovered one is missed capacity until someone tries it.
-        let may_try = !is_out_of_use && !self.is_last_send(ask) && (is_near || !ask.bulky);
+        let may_try = !is_out_of_use && !self.is_last_send(ask) && (is_near || !ask.long_answer);
         match usage {
             _ if ask.avoid.contains(&look.addr) => Some(Tier::Avoided),
             _ if is_on_trial && last => None,
             _ if may_try && look.is_due_for_trial() => Some(Tier::Trial),
-            _ if is_on_trial && ask.repeatable && !ask.bulky => Some(Tier::Trial),
+            _ if is_on_trial && ask.repeatable && !ask.long_answer => Some(Tier::Trial),
             _ if look.takes_beside(ask, distance) && !is_out_of_use => Some(Tier::Good),
-            _ if last && ask.bulky && is_near && !self.is_last_send(ask) => Some(Tier::Near),
+            _ if last && ask.long_answer && is_near && !self.is_last_send(ask) => Some(Tier::Near),
             _ if last => Some(Tier::Last),
             _ if look.is_missed(ask, distance) => Some(Tier::Good),
-            _ if ask.bulky && !is_near => Some(Tier::Far),
+            _ if ask.long_answer && !is_near => Some(Tier::Far),
             Use::Cautiously if !ask.repeatable => Some(Tier::Cautious),
             _ => Some(Tier::Good),
         }
--- a/crates/policy/src/dispatcher/notices.rs
+++ b/crates/policy/src/dispatcher/notices.rs
@@ -95,7 +95,7 @@
             if it.usable_slots(now) == 0 {
                 continue;
             }
-            if ask.bars(load.failure_domain) {
+            if ask.excludes(load.failure_domain) {
                 rests.push((BARRED_FOR, false));
                 continue;
             }
--- a/crates/policy/src/dispatcher/suspicion.rs
+++ b/crates/policy/src/dispatcher/suspicion.rs
@@ -29,7 +29,7 @@
 
     /// Requests that have come to be rejected here since the last call.
     pub fn take_rejections(&mut self) -> Vec<Rejection> {
-        self.suspects.take_news()
+        self.suspects.take_rejections()
     }
 
     /// Learns how a send ended, `elapsed` after it began, for which another dispatcher gave the slot.
--- a/crates/policy/src/dispatcher/waiting.rs
+++ b/crates/policy/src/dispatcher/waiting.rs
@@ -109,7 +109,8 @@
     /// Gives back what is reserved for repeats that do not wait any more; those that are granted a slot
     /// are counted when that happens.
     pub(super) fn leave_queue<'a>(&mut self, asks: impl Iterator<Item = &'a Ask>) {
-        asks.filter(|it| it.send == SendKind::Further).for_each(|_| self.budget.give_back());
+        asks.filter(|it| it.send == SendKind::Further)
+            .for_each(|_| self.budget.cancel_reservation());
     }
 
     pub(super) fn refusal(&self, id: PermitId) -> Settled {
@@ -126,7 +127,7 @@
     node: Option<NodeId>,
     repeatable: bool,
     is_last: bool,
-    bulky: bool,
+    long_answer: bool,
     send: SendKind,
     priority: Priority,
     objective: Duration,
@@ -144,7 +145,7 @@
             node: by_node.then_some(ask.reporter.node),
             repeatable: ask.repeatable,
             is_last: ask.is_last,
-            bulky: ask.bulky,
+            long_answer: ask.long_answer,
             send: ask.send,
             priority: ask.priority,
             objective: ask.objective,
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -66,12 +66,12 @@
     pub weight: u32,
     /// Whether the answer is long. Such requests prefer endpoints in the failure domain of the
     /// asker.
-    pub bulky: bool,
+    pub long_answer: bool,
     /// Which send of the request the slot is for.
     pub send: SendKind,
     /// Whether the asker assigns its share of the fixed part of the repeat budget to this
     /// dispatcher. An asker assigns its share to one dispatcher at a time.
-    pub brings_part: bool,
+    pub brings_share: bool,
     /// Endpoints that the asker cannot reach or has already tried. They are used last.
     pub avoid: Vec<SocketAddr>,
     /// Endpoints that asked this node to back off or announced that they are leaving. They are
@@ -109,7 +109,7 @@
     }
 
     /// Whether a failure domain is excluded.
-    fn bars(&self, failure_domain: u64) -> bool {
+    fn excludes(&self, failure_domain: u64) -> bool {
         let is_elsewhere = self.only.as_ref().is_some_and(|it| !it.contains(&failure_domain));
         is_elsewhere || self.evacuated.contains(&failure_domain)
     }
@@ -117,8 +117,8 @@
 
 impl Ask {
     /// Whether the request must not use endpoints of this failure domain.
-    pub(crate) fn bars(&self, failure_domain: u64) -> bool {
-        self.places.as_ref().is_some_and(|it| it.bars(failure_domain))
+    pub(crate) fn excludes(&self, failure_domain: u64) -> bool {
+        self.places.as_ref().is_some_and(|it| it.excludes(failure_domain))
     }
 
     /// Maximum number of closed endpoints in one ask, so that the ask fits into its frame.
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -72,7 +72,7 @@
 pub(crate) struct Suspects {
     by_key: FxHashMap<RequestKey, Suspect>,
     answered: Answered,
-    /// Rejections since the last call of `take_news`.
+    /// Rejections since the last call of `take_rejections`.
     news: Vec<Rejection>,
 }
 
@@ -132,7 +132,7 @@
     }
 
     /// Returns the rejections by this dispatcher since the last call.
-    pub(crate) fn take_news(&mut self) -> Vec<Rejection> {
+    pub(crate) fn take_rejections(&mut self) -> Vec<Rejection> {
         std::mem::take(&mut self.news)
     }
 
--- a/crates/policy/src/tests/budget.rs
+++ b/crates/policy/src/tests/budget.rs
@@ -57,7 +57,7 @@
         let (mut it, mut sends, mut now) = (budget(NODES), Sends::default(), Time(0));
         for (pause_ms, node, spends) in steps {
             now = now + Duration::from_millis(pause_ms);
-            it.hold_part(now, NodeId(node));
+            it.hold_share(now, NodeId(node));
             it.first_send(now);
             sends.first.push(now);
             if spends {
@@ -86,7 +86,7 @@
                 })
                 .collect();
             for (node, part) in part_of.iter().enumerate() {
-                budgets[*part].hold_part(now, NodeId(node as u64));
+                budgets[*part].hold_share(now, NodeId(node as u64));
                 budgets[*part].first_send(now);
                 sends.first.push(now);
             }
@@ -101,7 +101,7 @@
     let (mut it, mut sends) = (budget(NODES), Sends::default());
     for ms in (0..60_000).step_by(100) {
         let now = Time(0) + Duration::from_millis(ms);
-        it.hold_part(now, NodeId(ms / 100 % NODES));
+        it.hold_share(now, NodeId(ms / 100 % NODES));
         it.first_send(now);
         sends.first.push(now);
         spend_all(&mut it, now, &mut sends);
@@ -115,13 +115,13 @@
 fn a_node_on_its_own_has_its_own_part_only() {
     let mut it = budget(NODES);
     let mut sends = Sends::default();
-    it.hold_part(Time(0), NodeId(1));
-    it.hold_part(Time(0) + WINDOW, NodeId(1));
+    it.hold_share(Time(0), NodeId(1));
+    it.hold_share(Time(0) + WINDOW, NodeId(1));
     it.first_send(Time(0) + WINDOW);
     spend_all(&mut it, Time(0) + WINDOW, &mut sends);
     assert_eq!(sends.repeats.len(), 0);
     for ms in 0..10 {
-        it.hold_part(Time(0) + WINDOW + Duration::from_millis(ms), NodeId(1));
+        it.hold_share(Time(0) + WINDOW + Duration::from_millis(ms), NodeId(1));
         it.first_send(Time(0) + WINDOW + Duration::from_millis(ms));
     }
     spend_all(&mut it, Time(0) + WINDOW + Duration::from_millis(10), &mut sends);
@@ -132,8 +132,8 @@
 fn hedges_leave_a_part_for_what_has_failed() {
     let mut it = budget(1);
     let now = Time(0) + WINDOW;
-    it.hold_part(Time(0), NodeId(1));
-    it.hold_part(now, NodeId(1));
+    it.hold_share(Time(0), NodeId(1));
+    it.hold_share(now, NodeId(1));
     it.first_send(now);
     let mut taken =
         |what| std::iter::repeat_with(|| take(&mut it, now, what)).take_while(|it| *it).count();
@@ -240,7 +240,7 @@
         // A node's share moves only after the previous owner was not asked for a window.
         let place = asked_at[node];
         if place.is_none_or(|(it, at): (usize, Time)| it == granting || now.since(at) >= WINDOW) {
-            budgets[granting].hold_part(now, NodeId(node as u64));
+            budgets[granting].hold_share(now, NodeId(node as u64));
             asked_at[node] = Some((granting, now));
         }
         budgets[granting].first_send(now);
--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -29,7 +29,7 @@
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
     let near = Reporter { node: NodeId(1), failure_domain: stable_hash(b"b") };
     let mut domains = |seqs: std::ops::Range<u64>, objective| -> Vec<_> {
-        seqs.map(|seq| Ask { bulky: true, reporter: near, objective, ..ask(seq, true) })
+        seqs.map(|seq| Ask { long_answer: true, reporter: near, objective, ..ask(seq, true) })
             .map(|ask| domain_of(&dispatcher.ask(Time(0), ask, &mut rng)))
             .collect()
     };
@@ -293,12 +293,12 @@
         (0..3).for_each(|_| dispatcher.observe(Time(0), &endpoint.id, seen));
     }
     let near = Reporter { node: NodeId(1), failure_domain: stable_hash(b"b") };
-    let bulky = |seq| Ask { bulky: true, reporter: near, ..ask(seq, true) };
-    let first = dispatcher.ask(Time(1), bulky(1), &mut rng);
+    let long_answer = |seq| Ask { long_answer: true, reporter: near, ..ask(seq, true) };
+    let first = dispatcher.ask(Time(1), long_answer(1), &mut rng);
     assert!(matches!(&first, Reply::Granted(it) if it.tier == Tier::Near), "{first:?}");
     let second = dispatcher.ask(
         Time(1),
-        Ask { send: SendKind::Further, is_last: true, ..bulky(2) },
+        Ask { send: SendKind::Further, is_last: true, ..long_answer(2) },
         &mut rng,
     );
     assert!(matches!(&second, Reply::Granted(it) if it.tier == Tier::Far), "{second:?}");
--- a/crates/policy/src/tests/notices.rs
+++ b/crates/policy/src/tests/notices.rs
@@ -92,7 +92,7 @@
         ("first, asked again", Ask { send: SendKind::FirstAgain, ..plain.clone() }),
         ("repeat", Ask { send: SendKind::Further, wait: true, ..plain.clone() }),
         ("hedge", Ask { send: SendKind::Further, ..plain.clone() }),
-        ("rest of a download", Ask { send: SendKind::Further, bulky: true, ..plain.clone() }),
+        ("rest of a download", Ask { send: SendKind::Further, long_answer: true, ..plain.clone() }),
         ("last send", Ask { is_last: true, wait: true, ..plain.clone() }),
         ("must not repeat", Ask { repeatable: false, wait: true, ..plain }),
     ];
