--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -5,7 +5,7 @@
 use caller::{Refused, Want, Why};
 use fleet::{Action, Directory, PermitMessage, Place, Settlement, Wish};
 use policy::{
-    Ask, Grant, Kind, NodeId, Notice, Observation, PermitId, Places, Reply, Settled, Time,
+    Ask, DomainFilter, Grant, Kind, NodeId, Notice, Observation, PermitId, Reply, Settled, Time,
 };
 use rand::rngs::StdRng;
 use resources::{Name, Repeat, Route};
@@ -66,7 +66,7 @@
             brings_share: true,
             avoid: want.avoid.clone(),
             closed: state.direct.closed(now, self.me.node),
-            places: self.places_of(want),
+            domains: self.places_of(want),
             limits: state.direct.heard_limits(now),
             left: want.left,
             is_last: want.is_last,
@@ -86,9 +86,9 @@
     }
 
     /// Where a request may go.
-    fn places_of(&self, want: &Want) -> Option<Box<Places>> {
+    fn places_of(&self, want: &Want) -> Option<Box<DomainFilter>> {
         let only = want.regions.as_ref().map(|it| self.topology.domains_in(it));
-        Places { evacuated: self.evacuated.clone(), only }.boxed()
+        DomainFilter { evacuated: self.evacuated.clone(), only }.boxed()
     }
 
     pub(super) fn act(&mut self, now: Time, action: Action) {
--- a/crates/fleet/src/tests/permits.rs
+++ b/crates/fleet/src/tests/permits.rs
@@ -33,7 +33,7 @@
         brings_share: true,
         avoid: Vec::new(),
         closed: Vec::new(),
-        places: None,
+        domains: None,
         limits: Vec::new(),
         left: Duration::from_secs(1),
         is_last: false,
--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -115,7 +115,7 @@
         brings_share: true,
         avoid: vec![longest_info().addr; 16],
         closed: vec![longest_info().addr; Ask::MAX_CLOSED],
-        places: None,
+        domains: None,
         limits: vec![longest_limit(); Ask::MAX_LIMITS],
         left: Duration::MAX,
         is_last: true,
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -474,7 +474,7 @@
             brings_share: true,
             avoid: Vec::new(),
             closed: self.nodes[i].direct.closed(self.now(), id.node),
-            places: None,
+            domains: None,
             limits: self.nodes[i].direct.heard_limits(self.now()),
             left: TIME_LIMIT,
             is_last: false,
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -53,7 +53,7 @@
         brings_share: true,
         avoid: Vec::new(),
         closed: Vec::new(),
-        places: None,
+        domains: None,
         limits: Vec::new(),
         left: Duration::from_secs(1),
         is_last: false,
--- a/crates/policy/src/dispatcher/waiting.rs
+++ b/crates/policy/src/dispatcher/waiting.rs
@@ -9,7 +9,7 @@
 use super::choice::Survey;
 use super::congestion::Newcomer;
 use super::{Dispatcher, MIN_RETRY_AFTER};
-use crate::permit::{Ask, PermitId, Places, Reply, SendKind, Settled};
+use crate::permit::{Ask, DomainFilter, PermitId, Reply, SendKind, Settled};
 use crate::queue::Waiting;
 use crate::rendezvous::NodeId;
 use crate::suspects::RequestKey;
@@ -133,7 +133,7 @@
     objective: Duration,
     avoid: &'a [SocketAddr],
     closed: &'a [SocketAddr],
-    places: Option<&'a Places>,
+    places: Option<&'a DomainFilter>,
     /// The request, if an endpoint has ended under it.
     watched: Option<RequestKey>,
 }
@@ -151,7 +151,7 @@
             objective: ask.objective,
             avoid: &ask.avoid,
             closed: &ask.closed,
-            places: ask.places.as_deref(),
+            places: ask.domains.as_deref(),
             watched: None,
         }
     }
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -78,7 +78,7 @@
     /// never used.
     pub closed: Vec<SocketAddr>,
     /// The failure domains that the request may use, if restricted.
-    pub places: Option<Box<Places>>,
+    pub domains: Option<Box<DomainFilter>>,
     /// Rate limits that the asker has observed. They inform a dispatcher that takes over of the
     /// limits already in effect.
     pub limits: Vec<ObservedLimit>,
@@ -95,14 +95,14 @@
 
 /// Restriction of a request to some failure domains, given as hashes of their names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Places {
+pub struct DomainFilter {
     /// Failure domains that the asker knows to be evacuated.
     pub evacuated: Vec<u64>,
     /// The only failure domains that may be used; `None` allows all.
     pub only: Option<Vec<u64>>,
 }
 
-impl Places {
+impl DomainFilter {
     /// Returns `None` if there is no restriction.
     pub fn boxed(self) -> Option<Box<Self>> {
         (self != Self::default()).then(|| Box::new(self))
@@ -118,7 +118,7 @@
 impl Ask {
     /// Whether the request must not use endpoints of this failure domain.
     pub(crate) fn excludes(&self, failure_domain: u64) -> bool {
-        self.places.as_ref().is_some_and(|it| it.excludes(failure_domain))
+        self.domains.as_ref().is_some_and(|it| it.excludes(failure_domain))
     }
 
     /// Maximum number of closed endpoints in one ask, so that the ask fits into its frame.
--- a/crates/policy/src/tests/fixture.rs
+++ b/crates/policy/src/tests/fixture.rs
@@ -168,7 +168,7 @@
         brings_share: true,
         avoid: Vec::new(),
         closed: Vec::new(),
-        places: None,
+        domains: None,
         limits: Vec::new(),
         left: SECOND,
         is_last: false,
--- a/crates/policy/src/tests/places.rs
+++ b/crates/policy/src/tests/places.rs
@@ -7,7 +7,7 @@
 use resources::{Bias, Service, Standing};
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, reporter, service};
-use crate::{Ask, Dispatcher, Kind, Places, Reply, Reporter, Time, Topology, stable_hash};
+use crate::{Ask, Dispatcher, DomainFilter, Kind, Reply, Reporter, Time, Topology, stable_hash};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -86,13 +86,13 @@
     let service = two_domains();
     let (mut it, mut rng) = dispatcher(&service);
     let knowing = |seq| Ask {
-        places: Places { evacuated: vec![hash("a")], only: None }.boxed(),
+        domains: DomainFilter { evacuated: vec![hash("a")], only: None }.boxed(),
         ..ask(seq, true)
     };
     let all = sent(&mut it, &mut rng, knowing, 50);
     assert!(all.len() == 50 && all.iter().all(|it| addrs(&service, "b").contains(it)));
     let nowhere = Ask {
-        places: Places { evacuated: vec![hash("a"), hash("b")], only: None }.boxed(),
+        domains: DomainFilter { evacuated: vec![hash("a"), hash("b")], only: None }.boxed(),
         ..ask(100, true)
     };
     assert!(matches!(it.ask(Time(0), nowhere, &mut rng), Reply::Refused { .. }));
@@ -105,13 +105,13 @@
     let topology = Topology::new([("a", "north"), ("b", "south")].into_iter());
     let only = |region: &str| {
         let only = Some(topology.domains_in(&[region.into()]));
-        Places { evacuated: Vec::new(), only }.boxed()
+        DomainFilter { evacuated: Vec::new(), only }.boxed()
     };
     it.set_topology(topology.clone(), hash("a"));
-    let south = |seq| Ask { places: only("south"), ..ask(seq, true) };
+    let south = |seq| Ask { domains: only("south"), ..ask(seq, true) };
     let all = sent(&mut it, &mut rng, south, 50);
     assert!(all.len() == 50 && all.iter().all(|it| addrs(&service, "b").contains(it)));
-    let nowhere = Ask { places: only("west"), ..ask(100, true) };
+    let nowhere = Ask { domains: only("west"), ..ask(100, true) };
     assert!(matches!(it.ask(Time(0), nowhere, &mut rng), Reply::Refused { .. }));
 }
 
