--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -27,7 +27,7 @@
 use fleet::{Client, Delivery, Directory, Edge, Exchange, Keys, Phase, Place};
 use operator::Published as InForce;
 use policy::{
-    BudgetLimits, Grant, NodeId, PermitId, Reporter, RequestKey, Settled, Time, Topology,
+    BudgetLimits, Grant, NodeId, PermitId, QueuedReply, Reporter, RequestKey, Time, Topology,
     rank_strong_first,
 };
 use rand::RngExt;
@@ -115,7 +115,7 @@
     open: FxHashMap<PermitId, OpenPermit>,
     /// Replies of this node's dispatchers that are still to be delivered. A delivery may free the
     /// next slot, so they wait here instead of on the stack.
-    undelivered: VecDeque<(Scope, Settled)>,
+    undelivered: VecDeque<(Scope, QueuedReply)>,
     /// Requests since the last tick that were not served, by the service that might have served them.
     untold: FxHashMap<u64, Untold>,
     /// Addresses of nodes that have asked for slots.
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -5,7 +5,7 @@
 use caller::{Refused, Want, Why};
 use fleet::{Action, Directory, PermitMessage, Place, Settlement, Wish};
 use policy::{
-    Ask, DomainFilter, Grant, Kind, NodeId, Notice, Observation, PermitId, Reply, Settled, Time,
+    Ask, DomainFilter, Grant, Kind, NodeId, Notice, Observation, PermitId, QueuedReply, Reply, Time,
 };
 use rand::rngs::StdRng;
 use resources::{Name, Repeat, Route};
@@ -364,7 +364,7 @@
         &mut self,
         place: Place,
         service: u64,
-        f: impl FnOnce(&mut policy::Dispatcher, &mut StdRng) -> Vec<Settled>,
+        f: impl FnOnce(&mut policy::Dispatcher, &mut StdRng) -> Vec<QueuedReply>,
     ) {
         let Some(state) = self.services.get_mut(service) else { return };
         let (scope, dispatcher) = match place {
@@ -384,7 +384,7 @@
     }
 
     /// Delivers a reply to one that waited at a dispatcher of this node.
-    pub(super) fn deliver(&mut self, now: Time, scope: Scope, it: Settled) {
+    pub(super) fn deliver(&mut self, now: Time, scope: Scope, it: QueuedReply) {
         if it.id.node == self.me.node {
             let place = match scope {
                 Scope::Alone => Place::Direct,
--- a/crates/dappleway/src/control/peer_slots.rs
+++ b/crates/dappleway/src/control/peer_slots.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fleet::{PermitMessage, Place};
-use policy::{Ask, NodeId, Reply, Settled, Time};
+use policy::{Ask, NodeId, QueuedReply, Reply, Time};
 use rand::rngs::StdRng;
 
 use super::{Control, Nodes};
@@ -84,7 +84,7 @@
     /// Runs `f` on every dispatcher for others; permits are found by their identity.
     pub(super) fn each_own(
         &mut self,
-        f: impl Fn(&mut policy::Dispatcher, &mut StdRng) -> Vec<Settled>,
+        f: impl Fn(&mut policy::Dispatcher, &mut StdRng) -> Vec<QueuedReply>,
     ) {
         let rng = &mut self.rng;
         let mut settled = Vec::new();
--- a/crates/dappleway/src/services.rs
+++ b/crates/dappleway/src/services.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use policy::{
-    BudgetLimits, Change, Dispatcher, NodeId, Notice, Observation, Precedence, Rejection,
-    RequestKey, RouteTerms, RunEnd, Settled, Time, Topology, stable_hash,
+    BudgetLimits, Change, Dispatcher, NodeId, Notice, Observation, Precedence, QueuedReply,
+    Rejection, RequestKey, RouteTerms, RunEnd, Time, Topology, stable_hash,
 };
 use rand::Rng;
 use resources::{Config, Endpoint, Name, Registration, Service};
@@ -179,7 +179,7 @@
         self.collect(|it| it.wake(now, rng))
     }
 
-    fn collect(&mut self, mut f: impl FnMut(&mut Dispatcher) -> Vec<Settled>) -> Ticked {
+    fn collect(&mut self, mut f: impl FnMut(&mut Dispatcher) -> Vec<QueuedReply>) -> Ticked {
         let mut ticked = Ticked::default();
         self.for_each(|hash, scope, it| {
             ticked.settled.extend(f(it).into_iter().map(|settled| (scope, settled)));
@@ -247,7 +247,7 @@
 #[derive(Debug, Default)]
 pub struct Ticked {
     /// Replies to those that waited.
-    pub settled: Vec<(Scope, Settled)>,
+    pub settled: Vec<(Scope, QueuedReply)>,
     /// Changes of endpoints, with the hash of their service.
     pub changes: Vec<(u64, Scope, Change)>,
     /// Requests that a dispatcher has come to reject.
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -31,7 +31,7 @@
 use crate::likelihoods::Likelihoods;
 use crate::observation::{Kind, Observation, Reporter};
 use crate::outlier::OutlierDetector;
-use crate::permit::{Ask, Grant, PermitId, Reply, SendKind, Settled, Tier};
+use crate::permit::{Ask, Grant, PermitId, QueuedReply, Reply, SendKind, Tier};
 use crate::queue::Queue;
 use crate::rate_limit::RateLimit;
 use crate::rotation::{Change, EndpointStatus, Incarnations, Rotation, State};
@@ -381,7 +381,7 @@
         kind: Kind,
         elapsed: Duration,
         rng: &mut impl Rng,
-    ) -> Vec<Settled> {
+    ) -> Vec<QueuedReply> {
         let Some(permit) = self.permits.remove(&id) else { return Vec::new() };
         self.counts.released += 1;
         self.ended.insert(id, now);
@@ -402,7 +402,7 @@
     }
 
     /// Gives a slot back without learning anything from it, as when the caller has left.
-    pub fn cancel(&mut self, now: Time, id: PermitId, rng: &mut impl Rng) -> Vec<Settled> {
+    pub fn cancel(&mut self, now: Time, id: PermitId, rng: &mut impl Rng) -> Vec<QueuedReply> {
         let withdrawn = self.queue.extract(|it| it.item.id == id);
         self.counts.withdrawn += withdrawn.len() as u32;
         self.note_unserved(now, withdrawn.len());
@@ -434,7 +434,7 @@
 
     /// Moves what time alone moves and returns replies for those that waited. Costs next to nothing
     /// while nothing happens: a node holds a dispatcher for every service.
-    pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
+    pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<QueuedReply> {
         let is_idle = self.permits.is_empty() && self.ended.is_empty() && self.queue.len() == 0;
         if is_idle && self.judge.is_idle() {
             return Vec::new();
@@ -461,7 +461,7 @@
     }
 
     /// Forgets evidence and what is past its deadline after a pause of this process.
-    pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
+    pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<QueuedReply> {
         self.judge.discard_evidence();
         self.tick(now, rng)
     }
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -9,7 +9,7 @@
 use super::{ANSWERED_LIFETIME, Dispatcher, Permit, Told};
 use crate::belief::{Pressure, Use};
 use crate::observation::{Kind, Observation};
-use crate::permit::{PermitId, Settled};
+use crate::permit::{PermitId, QueuedReply};
 use crate::rate_limit::RateLimit;
 use crate::time::Time;
 use crate::unserved::Completion;
@@ -63,7 +63,7 @@
         id: PermitId,
         elapsed: Duration,
         rng: &mut impl Rng,
-    ) -> Vec<Settled> {
+    ) -> Vec<QueuedReply> {
         let Some(permit) = self.permits.get_mut(&id).filter(|it| !it.told.has_answer()) else {
             return Vec::new();
         };
--- a/crates/policy/src/dispatcher/suspicion.rs
+++ b/crates/policy/src/dispatcher/suspicion.rs
@@ -9,7 +9,7 @@
 use super::load::Load;
 use super::{Dispatcher, Permit};
 use crate::observation::Kind;
-use crate::permit::{Ask, Reply, Settled};
+use crate::permit::{Ask, QueuedReply, Reply};
 use crate::suspects::{Rejection, RequestKey, RunEnd};
 use crate::time::Time;
 
@@ -72,7 +72,7 @@
     }
 
     /// Answers those that wait for a slot and are sent no more.
-    pub(super) fn turn_away_rejected(&mut self, now: Time) -> Vec<Settled> {
+    pub(super) fn turn_away_rejected(&mut self, now: Time) -> Vec<QueuedReply> {
         if !std::mem::take(&mut self.has_rejected) {
             return Vec::new();
         }
@@ -83,7 +83,7 @@
         let answer = |ask: Ask| {
             let left = self.suspects.rejected(now, ask.request);
             let reply = Reply::Rejected { retry_after: left.unwrap_or_default() };
-            Settled { id: ask.id, reply }
+            QueuedReply { id: ask.id, reply }
         };
         rejected.into_iter().map(|it| answer(it.item)).collect()
     }
--- a/crates/policy/src/dispatcher/waiting.rs
+++ b/crates/policy/src/dispatcher/waiting.rs
@@ -9,7 +9,7 @@
 use super::choice::Survey;
 use super::congestion::Newcomer;
 use super::{Dispatcher, MIN_RETRY_AFTER};
-use crate::permit::{Ask, DomainFilter, PermitId, Reply, SendKind, Settled};
+use crate::permit::{Ask, DomainFilter, PermitId, QueuedReply, Reply, SendKind};
 use crate::queue::Waiting;
 use crate::rendezvous::NodeId;
 use crate::suspects::RequestKey;
@@ -59,7 +59,7 @@
     }
 
     /// Gives free slots to those that wait.
-    pub(super) fn drain(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
+    pub(super) fn drain(&mut self, now: Time, rng: &mut impl Rng) -> Vec<QueuedReply> {
         let is_too_soon = self.loads.len() >= LARGE && now.since(self.drained) < DRAIN_EVERY;
         if self.queue.len() == 0 || is_too_soon {
             return Vec::new();
@@ -81,7 +81,7 @@
             self.leave_queue(std::iter::once(&ask));
             let reply = Reply::Granted(self.grant(now, &ask, choice));
             self.look_again(&mut survey, choice.0);
-            settled.push(Settled { id: ask.id, reply });
+            settled.push(QueuedReply { id: ask.id, reply });
         }
         settled
     }
@@ -113,9 +113,9 @@
             .for_each(|_| self.budget.cancel_reservation());
     }
 
-    pub(super) fn refusal(&self, id: PermitId) -> Settled {
+    pub(super) fn refusal(&self, id: PermitId) -> QueuedReply {
         let retry_after = self.mean_hold.max(MIN_RETRY_AFTER);
-        Settled { id, reply: Reply::Refused { retry_after } }
+        QueuedReply { id, reply: Reply::Refused { retry_after } }
     }
 }
 
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -187,7 +187,7 @@
 
 /// The reply to an ask that was queued.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settled {
+pub struct QueuedReply {
     /// Identity of the requested permit.
     pub id: PermitId,
     /// The reply.
--- a/crates/policy/src/tests/dispatcher.rs
+++ b/crates/policy/src/tests/dispatcher.rs
@@ -7,7 +7,7 @@
 use resources::{Bias, Standing};
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, fill, service};
-use crate::{Ask, Dispatcher, Kind, PermitId, Reply, Settled, Time};
+use crate::{Ask, Dispatcher, Kind, PermitId, QueuedReply, Reply, Time};
 
 struct Driver {
     dispatcher: Dispatcher,
@@ -152,7 +152,7 @@
         }
     }
 
-    fn settle(&mut self, settled: Vec<Settled>) {
+    fn settle(&mut self, settled: Vec<QueuedReply>) {
         for it in settled {
             assert!(self.waiting.remove(&it.id).is_some(), "{it:?} was not waited for");
             self.take(it.id, it.reply);
--- a/crates/policy/src/tests/rest.rs
+++ b/crates/policy/src/tests/rest.rs
@@ -12,7 +12,7 @@
 use resources::{Bias, Floor};
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
-use crate::{Ask, Dispatcher, Kind, PermitId, Reply, RouteTerms, SendKind, Settled, Time};
+use crate::{Ask, Dispatcher, Kind, PermitId, QueuedReply, Reply, RouteTerms, SendKind, Time};
 
 /// How endpoints fall sick.
 #[derive(Clone, Copy, Debug)]
@@ -181,7 +181,7 @@
         self.ends.push(Reverse((now + took, seq, i, !fails)));
     }
 
-    fn take(&mut self, now: Time, dispatcher: &Dispatcher, settled: Vec<Settled>) {
+    fn take(&mut self, now: Time, dispatcher: &Dispatcher, settled: Vec<QueuedReply>) {
         for it in settled {
             self.reply(now, dispatcher, it.id, it.reply);
         }
--- a/crates/policy/src/tests/travelling.rs
+++ b/crates/policy/src/tests/travelling.rs
@@ -9,7 +9,7 @@
 use resources::Bias;
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
-use crate::{Ask, Dispatcher, Kind, PermitId, Reply, Settled, Time};
+use crate::{Ask, Dispatcher, Kind, PermitId, QueuedReply, Reply, Time};
 
 const MS: u64 = 1_000;
 
@@ -108,7 +108,7 @@
                 let ask = Ask { left: SECOND * 4, ..ask(u64::from(seen.asked), true) };
                 let id = ask.id;
                 let reply = dispatcher.ask(Time(now), ask, &mut rng);
-                settled.push(Settled { id, reply });
+                settled.push(QueuedReply { id, reply });
             }
             Event::Head(seq) => {
                 let upstream: &mut Upstream = &mut upstreams[at[&seq]];
