--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -75,7 +75,7 @@
         Lane::First(race) | Lane::Further(race) => Open::in_race(slot, race),
     };
     let (slot_by, since) = (open.granted_by(), Instant::now());
-    let (tier, doubt) = (open.grant().tier, open.grant().doubt);
+    let (tier, doubt) = (open.grant().tier, open.grant().health);
     let span = work.span.child();
     let req = work.request(&cx.names, &open.grant().endpoint, &span, body);
     let reuse = match work.route.repeat {
--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http::{HeaderValue, StatusCode};
-use policy::{Doubt, Tier};
+use policy::{HealthEstimate, Tier};
 use slog::{Logger, debug, info, warn};
 
 use crate::answer::GiveUp;
@@ -59,7 +59,7 @@
     pub(crate) endpoint: &'a str,
     pub(crate) slot_by: &'static str,
     pub(crate) tier: Tier,
-    pub(crate) doubt: Doubt,
+    pub(crate) doubt: HealthEstimate,
     pub(crate) outcome: &'static str,
     pub(crate) elapsed: Duration,
 }
@@ -71,7 +71,7 @@
             $level!(log, "send";
                 "request_id" => work.request_id(names), "endpoint" => it.endpoint,
                 "content" => %Hex64(work.key.0), "outcome" => it.outcome, "slot_by" => it.slot_by,
-                "choice" => it.tier.name(), "sick" => f64::from(it.doubt.sick_permille) / 1e3,
+                "choice" => it.tier.name(), "sick" => f64::from(it.doubt.unhealthy_permille) / 1e3,
                 "evidence_ms" => it.doubt.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
                 "left_ms" => work.left().as_millis() as u64, "span" => %Hex64(it.span.id),
                 "parent" => %Hex64(it.span.parent))
--- a/crates/caller/tests/bed/mod.rs
+++ b/crates/caller/tests/bed/mod.rs
@@ -27,7 +27,7 @@
         hedge_after: Duration::from_secs(1),
         trial: false,
         tier: Tier::Good,
-        doubt: Default::default(),
+        health: Default::default(),
         is_watched: false,
         is_rate_limited: false,
     }
--- a/crates/dappleway/src/baselines.rs
+++ b/crates/dappleway/src/baselines.rs
@@ -81,7 +81,7 @@
             hedge_after: NEVER,
             trial: false,
             tier: Tier::Good,
-            doubt: Default::default(),
+            health: Default::default(),
             is_watched: false,
             is_rate_limited: false,
         };
--- a/crates/fleet/src/tests/permits.rs
+++ b/crates/fleet/src/tests/permits.rs
@@ -52,7 +52,7 @@
         hedge_after: Duration::from_millis(30),
         trial: false,
         tier: Tier::Good,
-        doubt: Default::default(),
+        health: Default::default(),
         is_watched: false,
         is_rate_limited: false,
     }
--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -137,7 +137,7 @@
         hedge_after: Duration::from_millis(30),
         trial: true,
         tier: Tier::Good,
-        doubt: Default::default(),
+        health: Default::default(),
         is_watched: false,
         is_rate_limited: false,
     };
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -518,7 +518,7 @@
             addr: it.addr,
             stall_after: self.judge.baseline.stall_after(ask.route),
             hedge_after: self.judge.baseline.hedge_after(ask.route),
-            doubt: self.doubt(now, endpoint),
+            health: self.doubt(now, endpoint),
             trial: tier == Tier::Trial || matches!(it.state, State::Trial { .. }),
             tier,
             is_watched: self.suspects.is_watched(ask.request),
--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -10,7 +10,7 @@
 use crate::belief::{
     Belief, IDLE_AFTER_FAILURE, Pressure, RETRY_FAILED_AFTER, SILENCE_RATIO, STARVED_AFTER, Use,
 };
-use crate::permit::{Ask, Doubt, SendKind, Tier};
+use crate::permit::{Ask, HealthEstimate, SendKind, Tier};
 use crate::rotation::State;
 use crate::time::Time;
 use crate::topology::Distance;
@@ -355,10 +355,10 @@
     }
 
     /// What is believed of an endpoint now.
-    pub(super) fn doubt(&self, now: Time, i: usize) -> Doubt {
+    pub(super) fn doubt(&self, now: Time, i: usize) -> HealthEstimate {
         let look = self.look(now, i);
-        Doubt {
-            sick_permille: (look.sick * 1e3) as u16,
+        HealthEstimate {
+            unhealthy_permille: (look.sick * 1e3) as u16,
             evidence_ms: look.belief.evidence_age(now).as_millis() as u32,
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -36,7 +36,9 @@
 };
 pub use notice::Notice;
 pub use observation::{Kind, Observation, Reporter};
-pub use permit::{Ask, DomainFilter, Doubt, Grant, PermitId, QueuedReply, Reply, SendKind, Tier};
+pub use permit::{
+    Ask, DomainFilter, Grant, HealthEstimate, PermitId, QueuedReply, Reply, SendKind, Tier,
+};
 pub use rate_limit::{ObservedLimit, RateLimit};
 pub use rendezvous::{NodeId, rank, rank_strong_first, stable_hash};
 pub use retry::{Attempt, Next, Outcome, next_step};
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -146,7 +146,7 @@
     /// Rank of the endpoint among the candidates.
     pub tier: Tier,
     /// The estimated health of the endpoint.
-    pub doubt: Doubt,
+    pub health: HealthEstimate,
     /// Whether an endpoint has crashed under this request before, so that the requester has to
     /// report how the request ended.
     pub is_watched: bool,
@@ -157,9 +157,9 @@
 
 /// The estimated health of an endpoint when one of its slots was granted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Doubt {
+pub struct HealthEstimate {
     /// Probability that the endpoint is unhealthy, in thousandths.
-    pub sick_permille: u16,
+    pub unhealthy_permille: u16,
     /// Age of the latest outcome behind this estimate, in milliseconds.
     pub evidence_ms: u32,
 }
--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -470,6 +470,6 @@
     (0..2).for_each(|_| dispatcher.observe(Time(0) + SECOND, &service.endpoints[0].id, fails));
     let now = Time(0) + SECOND * 2;
     let Reply::Granted(grant) = dispatcher.ask(now, ask(1, true), &mut rng) else { panic!("free") };
-    assert_eq!(grant.doubt.evidence_ms, 1_000);
-    assert!((700..1_000).contains(&grant.doubt.sick_permille), "{:?}", grant.doubt);
+    assert_eq!(grant.health.evidence_ms, 1_000);
+    assert!((700..1_000).contains(&grant.health.unhealthy_permille), "{:?}", grant.health);
 }
