--- a/crates/dappleway/src/control/report.rs
+++ b/crates/dappleway/src/control/report.rs
@@ -82,7 +82,7 @@
         ServiceReport {
             name: it.service.name.to_string(),
             floor: it.service.floor.endpoints(total),
-            healthy: it.direct.rotation().proven(now),
+            healthy: it.direct.rotation().recently_healthy(now),
             queued,
             dispatched_by: self.dispatched_by(now, &it.service.name),
             excused,
--- a/crates/policy/src/rotation.rs
+++ b/crates/policy/src/rotation.rs
@@ -186,7 +186,7 @@
     }
 
     /// Whether the endpoint is healthy and has given a recent good answer.
-    pub fn is_proven(&self, now: Time) -> bool {
+    pub fn is_recently_healthy(&self, now: Time) -> bool {
         let fresh = self.last_good.is_some_and(|it| now.since(it) <= PROOF_LIFETIME);
         self.state == State::Healthy && fresh
     }
@@ -253,8 +253,8 @@
     }
 
     /// Number of healthy endpoints that have given a recent good answer.
-    pub fn proven(&self, now: Time) -> usize {
-        self.endpoints.iter().filter(|it| it.is_proven(now)).count()
+    pub fn recently_healthy(&self, now: Time) -> usize {
+        self.endpoints.iter().filter(|it| it.is_recently_healthy(now)).count()
     }
 
     /// Reports an event of an endpoint that does not change its state.
--- a/crates/policy/src/rotation/floor.rs
+++ b/crates/policy/src/rotation/floor.rs
@@ -68,7 +68,9 @@
             .endpoints
             .iter()
             .enumerate()
-            .filter(|(j, it)| *j != i && it.failure_domain == *domain && it.is_proven(now))
+            .filter(|(j, it)| {
+                *j != i && it.failure_domain == *domain && it.is_recently_healthy(now)
+            })
             .count();
         proven >= self.floor_of(now, domain)
     }
--- a/crates/policy/src/tests/floor.rs
+++ b/crates/policy/src/tests/floor.rs
@@ -101,7 +101,7 @@
             let Some(i) = self.rotation.position(&it.id) else { continue };
             let domain = &self.rotation.endpoints()[i].failure_domain;
             let own = self.rotation.endpoints().iter().filter(|it| it.failure_domain == *domain);
-            let healthy = own.filter(|it| it.is_proven(self.now)).count();
+            let healthy = own.filter(|it| it.is_recently_healthy(self.now)).count();
             prop_assert!(healthy >= self.rotation.floor_of(self.now, domain));
         }
         Ok(())
