--- a/crates/policy/src/belief.rs
+++ b/crates/policy/src/belief.rs
@@ -14,14 +14,14 @@
 
 /// Time constant with which evidence decays, in seconds. Gray failures last seconds; a wrong
 /// estimate of their length costs little because trial requests correct the belief.
-const EVIDENCE_LASTS: f64 = 6.5;
+const EVIDENCE_DECAY_S: f64 = 6.5;
 /// Probability for an endpoint without any evidence.
-const UNKNOWN: f64 = 0.1;
+const P_UNKNOWN: f64 = 0.1;
 /// Likelihood ratio (unhealthy against healthy) above which an unanswered request counts as a
 /// failure.
 pub(crate) const SILENCE_RATIO: f64 = 4.0;
 /// Bounds of the probability. At 0 or 1 no further evidence could change it.
-const BOUNDS: (f64, f64) = (0.002, 0.985);
+const P_BOUNDS: (f64, f64) = (0.002, 0.985);
 /// Below this probability an endpoint is used without restriction.
 const FREELY_BELOW: f64 = 0.12;
 /// Below this probability an endpoint takes one request at a time. One failure puts a busy endpoint
@@ -39,19 +39,19 @@
 /// endpoint.
 pub(crate) const PROBE_AFTER: Duration = Duration::from_millis(1_750);
 /// While some requests are not served, an endpoint is due after this long without work. This is
-/// shorter than `PROBE_AFTER` because the request may have to wait for a slot.
+/// shorter than [`PROBE_AFTER`] because the request may have to wait for a slot.
 pub(crate) const STARVED_AFTER: Duration = Duration::from_millis(1_500);
 /// While some requests are not served, an endpoint is tried again this long after its last failure.
 pub(crate) const RETRY_FAILED_AFTER: Duration = Duration::from_millis(1_900);
 /// Number of nodes that must fail to reach an endpoint in succession, with no answer to any node in
 /// between, before the endpoint counts as failed. Fewer may only show a fault of their network
 /// paths.
-const UNREACHED_BY: u32 = 3;
+const MIN_UNREACHED_NODES: u32 = 3;
 
 /// The estimated health of one endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Belief {
-    sick: f64,
+    p_unhealthy: f64,
     at: Time,
     failed_at: Option<Time>,
     unreached_by: Option<(Reporter, u32)>,
@@ -59,7 +59,7 @@
 
 impl Default for Belief {
     fn default() -> Self {
-        Self { sick: UNKNOWN, at: Time(0), failed_at: None, unreached_by: None }
+        Self { p_unhealthy: P_UNKNOWN, at: Time(0), failed_at: None, unreached_by: None }
     }
 }
 
@@ -138,7 +138,7 @@
         reporter: Reporter,
         elapsed: Duration,
         ratio: f64,
-        rest: f64,
+        prior: f64,
     ) {
         match kind {
             Kind::Answered => {
@@ -147,29 +147,31 @@
                 // the time at which its request began, and is no evidence if a failure followed.
                 let began = now - elapsed;
                 if self.failed_at.is_none_or(|it| began > it) {
-                    self.weigh(began.max(self.at), ratio, rest);
+                    self.update_odds(began.max(self.at), ratio, prior);
                 }
             }
-            Kind::Failed | Kind::Crashed => self.fail(now, now, ratio, rest),
+            Kind::Failed | Kind::Crashed => self.record_failure(now, now, ratio, prior),
             Kind::Stalled | Kind::LostToHedge | Kind::TimedOut | Kind::Abandoned => {
-                self.wait_in_vain(now, elapsed, ratio, rest);
+                self.observe_silence(now, elapsed, ratio, prior);
+            }
+            Kind::Unreachable if self.note_unreachable(reporter) => {
+                self.record_failure(now, now, ratio, prior);
             }
-            Kind::Unreachable if self.is_unreachable(reporter) => self.fail(now, now, ratio, rest),
             Kind::Unreachable | Kind::Shed => {}
         }
     }
 
     /// The probability that the endpoint is unhealthy, updated by `ratio`, the likelihood ratio of
     /// its open requests.
-    pub(crate) fn p_unhealthy_given(&self, now: Time, ratio: f64, rest: f64) -> f64 {
-        let sick = self.p_unhealthy(now, rest);
-        sick * ratio / (sick * ratio + 1.0 - sick)
+    pub(crate) fn p_unhealthy_given(&self, now: Time, ratio: f64, prior: f64) -> f64 {
+        let p_unhealthy = self.p_unhealthy(now, prior);
+        p_unhealthy * ratio / (p_unhealthy * ratio + 1.0 - p_unhealthy)
     }
 
     /// The probability that the endpoint is unhealthy.
-    pub(crate) fn p_unhealthy(&self, now: Time, rest: f64) -> f64 {
-        let kept = (-now.seconds_since(self.at) / EVIDENCE_LASTS).exp();
-        rest + (self.sick - rest) * kept
+    pub(crate) fn p_unhealthy(&self, now: Time, prior: f64) -> f64 {
+        let kept = (-now.seconds_since(self.at) / EVIDENCE_DECAY_S).exp();
+        prior + (self.p_unhealthy - prior) * kept
     }
 
     /// Age of the latest outcome.
@@ -179,7 +181,7 @@
 
     /// Whether the latest outcome is recent enough to count as evidence.
     pub(crate) fn is_recent(&self, now: Time) -> bool {
-        self.evidence_age(now).as_secs_f64() < EVIDENCE_LASTS
+        self.evidence_age(now).as_secs_f64() < EVIDENCE_DECAY_S
     }
 
     /// Time since the last failure of the endpoint, or `None` if it never failed.
@@ -188,16 +190,16 @@
     }
 
     /// How the endpoint is used now.
-    pub(crate) fn usage(&self, now: Time, strain: Pressure, rest: f64) -> Use {
-        self.usage_at(self.p_unhealthy(now, rest), now, strain)
+    pub(crate) fn usage(&self, now: Time, pressure: Pressure, prior: f64) -> Use {
+        self.usage_at(self.p_unhealthy(now, prior), now, pressure)
     }
 
     /// Like [`Self::usage`], for a probability that the caller has already computed.
-    pub(crate) fn usage_at(&self, sick: f64, now: Time, strain: Pressure) -> Use {
-        match sick {
+    pub(crate) fn usage_at(&self, p_unhealthy: f64, now: Time, pressure: Pressure) -> Use {
+        match p_unhealthy {
             it if it < FREELY_BELOW => Use::Freely,
             it if it < SINGLY_BELOW => Use::Singly,
-            _ if self.failed_before(now, strain.retry_failed_after()) => Use::Singly,
+            _ if self.failed_before(now, pressure.retry_failed_after()) => Use::Singly,
             it if it < CAUTIOUSLY_BELOW => Use::Cautiously,
             _ => Use::Last,
         }
@@ -209,35 +211,35 @@
     }
 
     /// Records a failure that happened at `at` and became known at `now`.
-    fn fail(&mut self, now: Time, at: Time, ratio: f64, rest: f64) {
-        self.weigh(now, ratio, rest);
+    fn record_failure(&mut self, now: Time, at: Time, ratio: f64, prior: f64) {
+        self.update_odds(now, ratio, prior);
         self.failed_at = self.failed_at.max(Some(at));
     }
 
     /// Applies an unanswered request that was open for `elapsed`. The failure is dated at the send:
     /// a timeout is no evidence for the time after the send.
-    fn wait_in_vain(&mut self, now: Time, elapsed: Duration, ratio: f64, rest: f64) {
+    fn observe_silence(&mut self, now: Time, elapsed: Duration, ratio: f64, prior: f64) {
         match ratio > SILENCE_RATIO {
-            true => self.fail(now, now - elapsed, ratio, rest),
-            false => self.weigh(now, ratio, rest),
+            true => self.record_failure(now, now - elapsed, ratio, prior),
+            false => self.update_odds(now, ratio, prior),
         }
     }
 
     /// Multiplies the odds by a likelihood ratio (unhealthy against healthy).
-    fn weigh(&mut self, now: Time, ratio: f64, rest: f64) {
-        let sick = self.p_unhealthy(now, rest);
-        let odds = sick / (1.0 - sick) * ratio;
-        self.sick = (odds / (1.0 + odds)).clamp(BOUNDS.0, BOUNDS.1);
+    fn update_odds(&mut self, now: Time, ratio: f64, prior: f64) {
+        let p_unhealthy = self.p_unhealthy(now, prior);
+        let odds = p_unhealthy / (1.0 - p_unhealthy) * ratio;
+        self.p_unhealthy = (odds / (1.0 + odds)).clamp(P_BOUNDS.0, P_BOUNDS.1);
         self.at = now;
     }
 
-    /// Whether [`UNREACHED_BY`] nodes in a row could not reach the endpoint, `reporter` being the
-    /// latest.
-    fn is_unreachable(&mut self, reporter: Reporter) -> bool {
+    /// Records that `reporter` could not reach the endpoint. Returns whether at least
+    /// [`MIN_UNREACHED_NODES`] nodes in a row could not.
+    fn note_unreachable(&mut self, reporter: Reporter) -> bool {
         let (last, count) = self.unreached_by.unwrap_or((reporter, 0));
-        let is_another = count == 0 || last.node != reporter.node;
-        let count = count + u32::from(is_another);
+        let is_other_node = count == 0 || last.node != reporter.node;
+        let count = count + u32::from(is_other_node);
         self.unreached_by = Some((reporter, count));
-        count >= UNREACHED_BY
+        count >= MIN_UNREACHED_NODES
     }
 }
