--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -18,7 +18,7 @@
 use crate::observation::{Kind, Observation, Reporter};
 use crate::rotation::{Incarnations, Rotation, State};
 use crate::time::Time;
-use crate::verdict::{Score, Thresholds, log_ratio};
+use crate::verdict::{Score, Thresholds, log_likelihood_ratio};
 use fault::{Fault, Scope};
 
 /// Outcomes kept per endpoint to attribute a run of failures.
@@ -27,16 +27,18 @@
 const AVOID_FOR: Duration = Duration::from_secs(5);
 /// After a fault shared by siblings, the endpoint is not ejected for this long, so that the fault
 /// can end.
-const EXCUSED_FOR: Duration = Duration::from_secs(2);
+const SHARED_FAULT_DEFERRAL: Duration = Duration::from_secs(2);
 /// Interval at which the baseline is decayed.
 const REFRESH: Duration = Duration::from_millis(100);
 /// Share of the baseline kept at each refresh: a half-life of about seven seconds.
-const KEEP: f64 = 0.99;
+const REFRESH_KEEP: f64 = 0.99;
 /// How much the share of failing siblings raises the threshold. A single unhealthy endpoint among
 /// healthy ones is detected no later.
 const SIBLING_WEIGHT: f64 = 2.0;
 /// Fraction of the ejection threshold that fails a trial: one stalled request or several late ones.
-const TRIAL_PART: f64 = 0.3;
+const TRIAL_FRACTION: f64 = 0.3;
+
+/// One outcome of an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Recent {
     at: Time,
@@ -47,17 +49,19 @@
     ratio: f64,
 }
 
+/// What is known about one endpoint.
 #[derive(Clone, Debug, Default)]
 struct Evidence {
     score: Score,
     recent: VecDeque<Recent>,
-    avoid: Vec<Avoid>,
+    path_faults: Vec<PathFault>,
     /// Until then the endpoint is not examined again, because its siblings failed as well.
-    excused_until: Time,
+    deferred_until: Time,
 }
 
+/// A path fault in effect: the reporters that avoid the endpoint, and until when.
 #[derive(Clone, Copy, Debug)]
-struct Avoid {
+struct PathFault {
     scope: Scope,
     until: Time,
 }
@@ -72,7 +76,7 @@
     refreshed: Time,
     /// Outcomes have arrived since the last refresh.
     is_active: bool,
-    /// Numbers of path, shared and reporter faults found, for the report.
+    // Numbers of faults found by cause, for the report.
     pub(crate) path_faults: u64,
     pub(crate) shared_faults: u64,
     pub(crate) reporter_faults: u64,
@@ -122,24 +126,27 @@
             let answered = (it.kind == Kind::Answered).then_some(it.elapsed);
             self.baseline.add(it.route, class, answered);
         }
-        self.remember(now, it, class);
+        self.record_recent(now, it, class);
         self.evidence[it.endpoint].score.add(class, self.baseline.shares(), self.thresholds);
         match class {
-            Class::Good => self.good(now, it.endpoint),
+            Class::Good => self.record_good(now, it.endpoint),
             Class::Shed => {}
-            _ if matches!(state, State::Trial { .. }) => self.judge_trial(now, it.endpoint),
-            _ => self.judge(now, it),
+            _ if matches!(state, State::Trial { .. }) => self.check_trial(now, it.endpoint),
+            _ => self.check_score(now, it),
         }
     }
 
     /// Whether any path fault is in effect.
     pub(crate) fn has_path_faults(&self) -> bool {
-        self.evidence.iter().any(|it| !it.avoid.is_empty())
+        self.evidence.iter().any(|it| !it.path_faults.is_empty())
     }
 
     /// Whether a path fault makes `reporter` avoid an endpoint.
     pub(crate) fn avoids(&self, now: Time, endpoint: usize, reporter: Reporter) -> bool {
-        self.evidence[endpoint].avoid.iter().any(|it| now < it.until && it.scope.covers(reporter))
+        self.evidence[endpoint]
+            .path_faults
+            .iter()
+            .any(|it| now < it.until && it.scope.covers(reporter))
     }
 
     /// The score of an endpoint in the sequential test.
@@ -157,9 +164,9 @@
         }
         self.refreshed = now;
         self.is_active = false;
-        self.baseline.refresh(KEEP.powf(intervals as f64));
+        self.baseline.refresh(REFRESH_KEEP.powf(intervals as f64));
         for i in 0..self.evidence.len() {
-            self.evidence[i].avoid.retain(|it| now < it.until);
+            self.evidence[i].path_faults.retain(|it| now < it.until);
             self.retry_ejection(now, i);
         }
     }
@@ -175,24 +182,24 @@
         self.evidence.iter_mut().for_each(|it| *it = Evidence::default());
     }
 
-    fn good(&mut self, now: Time, endpoint: usize) {
-        self.rotation.good(now, endpoint);
+    fn record_good(&mut self, now: Time, endpoint: usize) {
+        self.rotation.record_good(now, endpoint);
         if self.evidence[endpoint].score.value() == 0.0 {
-            self.rotation.clear(now, endpoint);
+            self.rotation.clear_suspicion(now, endpoint);
         }
     }
 
-    fn judge(&mut self, now: Time, it: Observation) {
-        if now < self.evidence[it.endpoint].excused_until {
+    fn check_score(&mut self, now: Time, it: Observation) {
+        if now < self.evidence[it.endpoint].deferred_until {
             return;
         }
         if self.evidence[it.endpoint].score.value() < self.thresholds.eject {
             return;
         }
-        match self.whose_fault(now, it.endpoint) {
-            Fault::Endpoint if !self.is_convicted(now, it.endpoint) => {}
+        match self.attribute_fault(now, it.endpoint) {
+            Fault::Endpoint if !self.is_confirmed(now, it.endpoint) => {}
             Fault::Endpoint => {
-                self.rotation.eject(now, it.endpoint, "sick against its siblings");
+                self.rotation.eject(now, it.endpoint, "unhealthy compared with its siblings");
                 self.purge_baseline(now, it.endpoint);
             }
             Fault::Path(scope) => {
@@ -200,16 +207,16 @@
                 let evidence = &mut self.evidence[it.endpoint];
                 evidence.recent.retain(|it| !scope.covers(it.reporter));
                 evidence.score.reset();
-                evidence.avoid.push(Avoid { scope, until: now + AVOID_FOR });
+                evidence.path_faults.push(PathFault { scope, until: now + AVOID_FOR });
             }
             Fault::Reporter(reporter) => {
                 self.reporter_faults += 1;
-                self.discard(reporter);
+                self.discard_reports_of(reporter);
             }
             // Siblings that fail alike stay in rotation alike.
             Fault::Shared => {
                 self.shared_faults += 1;
-                self.evidence[it.endpoint].excused_until = now + EXCUSED_FOR;
+                self.evidence[it.endpoint].deferred_until = now + SHARED_FAULT_DEFERRAL;
             }
         }
     }
@@ -223,14 +230,14 @@
 
     /// Whether the evidence suffices for an ejection. The threshold is higher when siblings have
     /// begun to fail too, so that a shared fault has time to show at all of them.
-    fn is_convicted(&self, now: Time, i: usize) -> bool {
+    fn is_confirmed(&self, now: Time, i: usize) -> bool {
         let score = self.evidence[i].score.value();
-        score >= self.thresholds.eject * (1.0 + SIBLING_WEIGHT * self.bad_siblings(now, i))
+        score >= self.thresholds.eject * (1.0 + SIBLING_WEIGHT * self.bad_sibling_share(now, i))
     }
 
     /// Fails a trial on little evidence, because the endpoint was unhealthy a moment ago.
-    fn judge_trial(&mut self, now: Time, i: usize) {
-        if self.evidence[i].score.value() >= self.thresholds.eject * TRIAL_PART {
+    fn check_trial(&mut self, now: Time, i: usize) {
+        if self.evidence[i].score.value() >= self.thresholds.eject * TRIAL_FRACTION {
             self.rotation.eject(now, i, "trial failed");
         }
     }
@@ -247,12 +254,15 @@
     /// Ejects a suspect as soon as the floor allows it.
     fn retry_ejection(&mut self, now: Time, i: usize) {
         let is_suspect = self.rotation.endpoints()[i].state == State::Suspect;
-        if is_suspect && self.is_convicted(now, i) && self.whose_fault(now, i) == Fault::Endpoint {
-            self.rotation.eject(now, i, "sick, and the floor now allows it");
+        if is_suspect
+            && self.is_confirmed(now, i)
+            && self.attribute_fault(now, i) == Fault::Endpoint
+        {
+            self.rotation.eject(now, i, "unhealthy, and the floor now allows an ejection");
         }
     }
 
-    fn discard(&mut self, reporter: Reporter) {
+    fn discard_reports_of(&mut self, reporter: Reporter) {
         for it in &mut self.evidence {
             if it.recent.iter().any(|r| r.class.is_bad() && r.reporter == reporter) {
                 it.score.reset();
@@ -261,11 +271,11 @@
         }
     }
 
-    fn remember(&mut self, now: Time, it: Observation, class: Class) {
+    fn record_recent(&mut self, now: Time, it: Observation, class: Class) {
         if class == Class::Shed {
             return;
         }
-        let ratio = log_ratio(class, self.baseline.shares());
+        let ratio = log_likelihood_ratio(class, self.baseline.shares());
         let recent = &mut self.evidence[it.endpoint].recent;
         if recent.len() == RECENT {
             recent.pop_front();
--- a/crates/policy/src/outlier/fault.rs
+++ b/crates/policy/src/outlier/fault.rs
@@ -15,12 +15,12 @@
 const MIN_ELSEWHERE: usize = 3;
 /// Fraction of the ejection threshold below which the score from other reporters must stay to
 /// exonerate the endpoint.
-const ELSEWHERE_PART: f64 = 0.3;
+const ELSEWHERE_FRACTION: f64 = 0.3;
 /// A fault is shared when at least this share of the siblings fails: more than one failure domain
 /// of three.
-const SHARED_BY: f64 = 0.4;
+const SHARED_FRACTION: f64 = 0.4;
 /// A reporter is itself at fault when it sees this many endpoints fail while others see them work.
-const OWN_FAULT_ENDPOINTS: usize = 3;
+const MIN_REPORTER_FAULT_ENDPOINTS: usize = 3;
 
 /// The reporters that a path fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,37 +49,41 @@
 
 impl OutlierDetector {
     /// Attributes the bad outcomes of an endpoint.
-    pub(super) fn whose_fault(&self, now: Time, endpoint: usize) -> Fault {
+    pub(super) fn attribute_fault(&self, now: Time, endpoint: usize) -> Fault {
         let bad = self.recent(now, endpoint).filter(|it| it.class.is_bad()).map(|it| it.reporter);
         for reporter in bad {
             let node = Scope::Node(reporter.node);
             for scope in [node, Scope::FailureDomain(reporter.failure_domain)] {
-                if !self.is_well_elsewhere(now, endpoint, scope) {
+                if !self.works_elsewhere(now, endpoint, scope) {
                     continue;
                 }
-                let is_own = scope == node && self.fails_widely(now, reporter);
-                return if is_own { Fault::Reporter(reporter) } else { Fault::Path(scope) };
+                let is_reporter_fault = scope == node && self.sees_many_failures(now, reporter);
+                return if is_reporter_fault {
+                    Fault::Reporter(reporter)
+                } else {
+                    Fault::Path(scope)
+                };
             }
         }
-        let is_shared = self.bad_siblings(now, endpoint) >= SHARED_BY;
+        let is_shared = self.bad_sibling_share(now, endpoint) >= SHARED_FRACTION;
         if is_shared { Fault::Shared } else { Fault::Endpoint }
     }
 
     /// Whether reporters outside `scope` see the endpoint work. Their good outcomes count only for
     /// requests that began after the first request that failed inside the scope.
-    fn is_well_elsewhere(&self, now: Time, endpoint: usize, scope: Scope) -> bool {
+    fn works_elsewhere(&self, now: Time, endpoint: usize, scope: Scope) -> bool {
         let mut covered = self.recent(now, endpoint).filter(|it| scope.covers(it.reporter));
         let Some(first) = covered.find(|it| it.class.is_bad()) else { return false };
         let elsewhere = self.recent(now, endpoint).filter(|it| {
             !scope.covers(it.reporter) && (it.class.is_bad() || it.started >= first.started)
         });
         let mut score = Score::default();
-        let mut seen = 0;
+        let mut count = 0;
         for it in elsewhere {
             score.add_ratio(it.ratio, self.thresholds);
-            seen += 1;
+            count += 1;
         }
-        seen >= MIN_ELSEWHERE && score.value() < self.thresholds.eject * ELSEWHERE_PART
+        count >= MIN_ELSEWHERE && score.value() < self.thresholds.eject * ELSEWHERE_FRACTION
     }
 
     /// Recent outcomes of an endpoint.
@@ -89,17 +93,17 @@
     }
 
     /// Whether one reporter sees several endpoints fail.
-    fn fails_widely(&self, now: Time, reporter: Reporter) -> bool {
+    fn sees_many_failures(&self, now: Time, reporter: Reporter) -> bool {
         let fails = |it: &Evidence| {
             it.recent.iter().any(|r| {
                 r.class.is_bad() && r.reporter == reporter && now.since(r.at) < RECENT_LIFETIME
             })
         };
-        self.evidence.iter().filter(|it| fails(it)).count() >= OWN_FAULT_ENDPOINTS
+        self.evidence.iter().filter(|it| fails(it)).count() >= MIN_REPORTER_FAULT_ENDPOINTS
     }
 
     /// The share of the active siblings that have begun to fail too.
-    pub(super) fn bad_siblings(&self, now: Time, endpoint: usize) -> f64 {
+    pub(super) fn bad_sibling_share(&self, now: Time, endpoint: usize) -> f64 {
         let siblings = (0..self.evidence.len())
             .filter(|i| *i != endpoint && self.rotation.endpoints()[*i].state.in_rotation())
             .filter(|i| self.is_active(now, *i));
--- a/crates/policy/src/rotation.rs
+++ b/crates/policy/src/rotation.rs
@@ -16,17 +16,17 @@
 use crate::time::Time;
 
 use floor::DomainFloor;
-pub(crate) use floor::SETTLE;
+pub(crate) use floor::FLOOR_SETTLE_TIME;
 pub use floor::domain_floors;
 
 /// A good answer counts as evidence of health for this long.
-const PROOF_LIFETIME: Duration = Duration::from_secs(10);
-/// Time that an ejected endpoint spends out of rotation. Together with `TRIAL_PATIENCE` it stays
+const GOOD_ANSWER_LIFETIME: Duration = Duration::from_secs(10);
+/// Time that an ejected endpoint spends out of rotation. Together with [`TRIAL_PATIENCE`] it stays
 /// below the four seconds after which the availability target counts a recovered endpoint as idle.
 /// A time that doubled up to 8 s for flapping endpoints left some idle for 5 s.
-const TIME_OUT: Duration = Duration::from_secs(2);
+const EJECTION_TIME: Duration = Duration::from_secs(2);
 /// Good answers on trial before an endpoint is readmitted.
-const TRIAL_GOOD: u32 = 2;
+const TRIAL_GOOD_ANSWERS: u32 = 2;
 /// An endpoint on trial takes only repeatable requests for this long, then others too. Otherwise a
 /// service without repeatable requests would never readmit the endpoint.
 const TRIAL_PATIENCE: Duration = Duration::from_secs(1);
@@ -187,8 +187,9 @@
 
     /// Whether the endpoint is healthy and has given a recent good answer.
     pub fn is_recently_healthy(&self, now: Time) -> bool {
-        let fresh = self.last_good.is_some_and(|it| now.since(it) <= PROOF_LIFETIME);
-        self.state == State::Healthy && fresh
+        let has_recent_answer =
+            self.last_good.is_some_and(|it| now.since(it) <= GOOD_ANSWER_LIFETIME);
+        self.state == State::Healthy && has_recent_answer
     }
 
     /// Number of slots that the endpoint's state allows now.
@@ -201,8 +202,8 @@
             State::Ejected { .. } | State::Leaving => 0,
             State::Trial { .. } => 1,
             State::Ramping { since } => {
-                let part = now.since(since).as_secs_f64() / RAMP.as_secs_f64();
-                ((f64::from(slots) * part) as u32).clamp(1, slots)
+                let fraction = now.since(since).as_secs_f64() / RAMP.as_secs_f64();
+                ((f64::from(slots) * fraction) as u32).clamp(1, slots)
             }
             State::Unknown | State::Healthy | State::Suspect => slots,
         }
@@ -226,7 +227,7 @@
     floors: Vec<DomainFloor>,
     changes: Vec<Change>,
     /// No state changes with time alone, so that `tick` has nothing to do.
-    steady: bool,
+    is_steady: bool,
 }
 
 impl Rotation {
@@ -237,9 +238,9 @@
         let positions = endpoints.iter().enumerate().map(|(i, it)| (it.id.clone(), i)).collect();
         let floors = domain_floors(service)
             .into_iter()
-            .map(|(name, floor)| DomainFloor { name, floor, settling: None })
+            .map(|(name, floor)| DomainFloor { name, floor, stricter_until: None })
             .collect();
-        Self { endpoints, positions, floors, changes: Vec::new(), steady: false }
+        Self { endpoints, positions, floors, changes: Vec::new(), is_steady: false }
     }
 
     /// The endpoints in the order of the configuration.
@@ -274,9 +275,9 @@
     pub fn reconfigure(&mut self, now: Time, service: &Service) {
         let old = std::mem::replace(self, Self::new(now, service));
         self.changes = old.changes;
-        let lives = Incarnations::of(&old.endpoints);
+        let incarnations = Incarnations::of(&old.endpoints);
         for it in &mut self.endpoints {
-            let kept = lives.position(it).map(|i| &old.endpoints[i]);
+            let kept = incarnations.position(it).map(|i| &old.endpoints[i]);
             match kept {
                 Some(kept) if it.state != State::Leaving || kept.state == State::Leaving => {
                     it.state = kept.state;
@@ -291,19 +292,20 @@
         }
         for it in &mut self.floors {
             let Some(before) = old.floors.iter().find(|f| f.name == it.name) else { continue };
-            let strictest = before.current(now).max(it.floor);
-            it.settling = (strictest > it.floor).then_some((strictest, now + SETTLE));
+            let stricter = before.current(now).max(it.floor);
+            it.stricter_until =
+                (stricter > it.floor).then_some((stricter, now + FLOOR_SETTLE_TIME));
         }
         self.restore_floor(now);
     }
 
     /// Records a good answer, which may complete a trial.
-    pub fn good(&mut self, now: Time, i: usize) {
+    pub fn record_good(&mut self, now: Time, i: usize) {
         let it = &mut self.endpoints[i];
         it.last_good = Some(now);
         match it.state {
             State::Unknown => self.set(now, i, State::Healthy, "first good answer"),
-            State::Trial { good, .. } if good + 1 >= TRIAL_GOOD => {
+            State::Trial { good, .. } if good + 1 >= TRIAL_GOOD_ANSWERS => {
                 self.set(now, i, State::Ramping { since: now }, "trial passed");
             }
             State::Trial { since, good } => it.state = State::Trial { since, good: good + 1 },
@@ -312,9 +314,9 @@
     }
 
     /// Ends the suspicion against an endpoint whose outcomes have improved.
-    pub fn clear(&mut self, now: Time, i: usize) {
+    pub fn clear_suspicion(&mut self, now: Time, i: usize) {
         if self.endpoints[i].state == State::Suspect {
-            self.set(now, i, State::Healthy, "evidence turned good");
+            self.set(now, i, State::Healthy, "outcomes have improved");
         }
     }
 
@@ -323,10 +325,10 @@
     pub fn eject(&mut self, now: Time, i: usize, reason: &'static str) {
         match self.endpoints[i].state {
             State::Ejected { .. } | State::Leaving => {}
-            State::Trial { .. } => self.push_out(now, i, "trial failed"),
-            _ if self.floor_allows(now, i) => self.push_out(now, i, reason),
+            State::Trial { .. } => self.set_ejected(now, i, "trial failed"),
+            _ if self.floor_allows(now, i) => self.set_ejected(now, i, reason),
             State::Suspect => {}
-            _ => self.set(now, i, State::Suspect, "sick, but the floor keeps it"),
+            _ => self.set(now, i, State::Suspect, "unhealthy, but kept by the floor"),
         }
     }
 
@@ -342,19 +344,19 @@
 
     /// Whether no state changes with time alone, so that no tick is needed.
     pub fn is_steady(&self) -> bool {
-        self.steady
+        self.is_steady
     }
 
     /// Applies the state changes that depend on time alone.
     pub fn tick(&mut self, now: Time) {
-        if self.steady {
+        if self.is_steady {
             return;
         }
         for i in 0..self.endpoints.len() {
             let it = &mut self.endpoints[i];
             match it.state {
                 State::Ejected { until } if now >= until => {
-                    self.set(now, i, State::Trial { since: now, good: 0 }, "time out is over");
+                    self.set(now, i, State::Trial { since: now, good: 0 }, "ejection time is over");
                 }
                 State::Ramping { since } if now.since(since) >= RAMP => {
                     self.set(now, i, State::Healthy, "ramp is over");
@@ -364,8 +366,8 @@
         }
         self.restore_floor(now);
         let is_steady = |it: &EndpointStatus| matches!(it.state, State::Unknown | State::Healthy);
-        self.steady = self.endpoints.iter().all(is_steady)
-            && self.floors.iter().all(|it| it.settling.is_none_or(|(_, until)| now >= until));
+        self.is_steady = self.endpoints.iter().all(is_steady)
+            && self.floors.iter().all(|it| it.stricter_until.is_none_or(|(_, until)| now >= until));
     }
 
     #[cfg(test)]
@@ -373,15 +375,15 @@
         self.set(now, i, State::Healthy, "test");
     }
 
-    fn push_out(&mut self, now: Time, i: usize, reason: &'static str) {
-        self.set(now, i, State::Ejected { until: now + TIME_OUT }, reason);
+    fn set_ejected(&mut self, now: Time, i: usize, reason: &'static str) {
+        self.set(now, i, State::Ejected { until: now + EJECTION_TIME }, reason);
     }
 
     fn set(&mut self, now: Time, i: usize, to: State, reason: &'static str) {
         let it = &mut self.endpoints[i];
         let from = std::mem::replace(&mut it.state, to);
         it.since = now;
-        self.steady = false;
+        self.is_steady = false;
         self.changes.push(Change { id: it.id.clone(), addr: it.addr, from, to, reason });
     }
 }
--- a/crates/policy/src/rotation/floor.rs
+++ b/crates/policy/src/rotation/floor.rs
@@ -9,7 +9,7 @@
 
 /// After a change of configuration the stricter of the old and new floors applies for this long,
 /// because other nodes may still apply the old one.
-pub(crate) const SETTLE: Duration = Duration::from_secs(20);
+pub(crate) const FLOOR_SETTLE_TIME: Duration = Duration::from_secs(20);
 
 /// The floor of each failure domain, in endpoints, in the order of first mention. Each floor is the
 /// size of the failure domain minus its share of the permitted ejections, which are split by the
@@ -27,8 +27,8 @@
     let mut shares: Vec<usize> = sizes.iter().map(|(_, n)| allowance * n / total.max(1)).collect();
     let mut order: Vec<usize> = (0..sizes.len()).collect();
     order.sort_by_key(|i| std::cmp::Reverse((allowance * sizes[*i].1 % total.max(1), sizes[*i].1)));
-    let rest = allowance - shares.iter().sum::<usize>();
-    for i in order.into_iter().take(rest) {
+    let remainder = allowance - shares.iter().sum::<usize>();
+    for i in order.into_iter().take(remainder) {
         shares[i] += 1;
     }
     sizes.into_iter().zip(shares).map(|((name, n), share)| (name, n - share)).collect()
@@ -40,13 +40,13 @@
     pub(super) name: Name,
     pub(super) floor: usize,
     /// A stricter floor, and until when it applies after a change of configuration.
-    pub(super) settling: Option<(usize, Time)>,
+    pub(super) stricter_until: Option<(usize, Time)>,
 }
 
 impl DomainFloor {
     /// The floor that applies now.
     pub(super) fn current(&self, now: Time) -> usize {
-        match self.settling {
+        match self.stricter_until {
             Some((floor, until)) if now < until => floor.max(self.floor),
             _ => self.floor,
         }
@@ -64,7 +64,7 @@
     /// `i`.
     pub(super) fn floor_allows(&self, now: Time, i: usize) -> bool {
         let domain = &self.endpoints[i].failure_domain;
-        let proven = self
+        let healthy = self
             .endpoints
             .iter()
             .enumerate()
@@ -72,7 +72,7 @@
                 *j != i && it.failure_domain == *domain && it.is_recently_healthy(now)
             })
             .count();
-        proven >= self.floor_of(now, domain)
+        healthy >= self.floor_of(now, domain)
     }
 
     /// While a failure domain has fewer endpoints in rotation than its floor, as after a departure
@@ -81,8 +81,8 @@
         for f in 0..self.floors.len() {
             let floor = self.floors[f].current(now);
             while self.in_rotation(f) < floor {
-                let Some(i) = self.oldest_out(f) else { break };
-                self.set(now, i, State::Suspect, "brought back: too few in rotation");
+                let Some(i) = self.first_ejected(f) else { break };
+                self.set(now, i, State::Suspect, "readmitted: too few in rotation");
             }
         }
     }
@@ -93,7 +93,7 @@
         own.filter(|it| it.state.in_rotation()).count()
     }
 
-    fn oldest_out(&self, f: usize) -> Option<usize> {
+    fn first_ejected(&self, f: usize) -> Option<usize> {
         let domain = &self.floors[f].name;
         (0..self.endpoints.len())
             .filter(|i| self.endpoints[*i].failure_domain == *domain)
--- a/crates/policy/src/tests/floor.rs
+++ b/crates/policy/src/tests/floor.rs
@@ -6,7 +6,7 @@
 use resources::Bias;
 
 use super::fixture::service;
-use crate::rotation::{Rotation, SETTLE, State, domain_floors};
+use crate::rotation::{FLOOR_SETTLE_TIME, Rotation, State, domain_floors};
 use crate::{Change, Time};
 
 /// An event in a rotation.
@@ -50,8 +50,8 @@
         let now = self.now;
         match event {
             Event::Good(i) if self.rotation.endpoints()[i % n].state != State::Leaving => {
-                self.rotation.good(now, i % n);
-                self.rotation.clear(now, i % n);
+                self.rotation.record_good(now, i % n);
+                self.rotation.clear_suspicion(now, i % n);
             }
             Event::Good(_) => {}
             Event::Unhealthy(i) => self.rotation.eject(now, i % n, "test"),
@@ -187,7 +187,7 @@
     (0..3).for_each(|i| drop(driver.apply(&Event::Good(i))));
     driver.apply(&Event::Reconfigure(vec![3], 1));
     assert_eq!(driver.rotation.floor_of(driver.now, "a"), 3);
-    driver.now = driver.now + SETTLE;
+    driver.now = driver.now + FLOOR_SETTLE_TIME;
     assert_eq!(driver.rotation.floor_of(driver.now, "a"), 1);
 }
 
--- a/crates/policy/src/tests/floor_model.rs
+++ b/crates/policy/src/tests/floor_model.rs
@@ -3,7 +3,7 @@
 //! For each of two failure domains one detector ejects independently. The old and the new
 //! configuration have the same floor for the service but split it differently. Each detector may
 //! receive the new configuration at any time; all receive it before the first has settled, which is
-//! the assumption behind `SETTLE`. The specification is explored exhaustively, and random schedules
+//! the assumption behind `FLOOR_SETTLE_TIME`. The specification is explored exhaustively, and random schedules
 //! of the same steps are compared with the production rotation.
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
@@ -12,7 +12,7 @@
 
 use super::fixture::service;
 use crate::Time;
-use crate::rotation::{Rotation, SETTLE, State};
+use crate::rotation::{FLOOR_SETTLE_TIME, Rotation, State};
 
 /// Endpoints in each failure domain.
 const SIZE: usize = 3;
@@ -177,7 +177,7 @@
                 self.rotation.readmit_for_test(self.now, out.expect("the model has one out"));
             }
             Step::Receive(_) => self.rotation.reconfigure(self.now, &configuration(self.domain, 1)),
-            Step::Settle(_) => self.now = self.now + SETTLE,
+            Step::Settle(_) => self.now = self.now + FLOOR_SETTLE_TIME,
         }
         (0..SIZE).for_each(|i| self.confirm_healthy(i));
     }
@@ -185,8 +185,8 @@
     /// Endpoints in rotation are healthy.
     fn confirm_healthy(&mut self, i: usize) {
         if self.rotation.endpoints()[i].state.in_rotation() {
-            self.rotation.good(self.now, i);
-            self.rotation.clear(self.now, i);
+            self.rotation.record_good(self.now, i);
+            self.rotation.clear_suspicion(self.now, i);
         }
     }
 }
--- a/crates/policy/src/verdict.rs
+++ b/crates/policy/src/verdict.rs
@@ -6,11 +6,11 @@
 use crate::class::Class;
 
 /// Share of the good answers of an endpoint that becomes each bad class when it is unhealthy.
-const SICK_SHARE: f64 = 0.15;
+const UNHEALTHY_SHARE: f64 = 0.15;
 /// Number of bad classes that are evidence of an unhealthy endpoint: late, stalled and failed.
-const SICK_CLASSES: f64 = 3.0;
+const UNHEALTHY_CLASSES: f64 = 3.0;
 /// Fraction of the ejection threshold from which a sibling counts towards a shared fault.
-const SHARED_PART: f64 = 0.25;
+const SHARED_FRACTION: f64 = 0.25;
 
 /// Thresholds of the test for one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,7 +29,7 @@
             Bias::Balanced => 18.0,
             Bias::Caution => 22.0,
         };
-        Self { eject, shared: eject * SHARED_PART }
+        Self { eject, shared: eject * SHARED_FRACTION }
     }
 }
 
@@ -49,7 +49,7 @@
     /// Adds one outcome. The sum is kept between zero and twice the threshold, so that old evidence
     /// does not outweigh a recovery.
     pub(crate) fn add(&mut self, class: Class, normal: [f64; 4], thresholds: Thresholds) {
-        self.add_ratio(log_ratio(class, normal), thresholds);
+        self.add_ratio(log_likelihood_ratio(class, normal), thresholds);
     }
 
     /// Adds the log-likelihood ratio of one outcome.
@@ -60,15 +60,15 @@
 
 /// The log-likelihood ratio (unhealthy against healthy) of an outcome; `normal` holds the shares of
 /// the bad classes at healthy endpoints.
-pub(crate) fn log_ratio(class: Class, normal: [f64; 4]) -> f64 {
-    let sick = 1.0 - SICK_CLASSES * SICK_SHARE;
+pub(crate) fn log_likelihood_ratio(class: Class, normal: [f64; 4]) -> f64 {
+    let good_share = 1.0 - UNHEALTHY_CLASSES * UNHEALTHY_SHARE;
     match class {
-        Class::Good => sick.ln(),
+        Class::Good => good_share.ln(),
         Class::Shed => 0.0,
         _ => {
             let good = (1.0 - normal[..3].iter().sum::<f64>()).max(0.0);
             let usual = normal[class.bad_index().unwrap_or_default()];
-            (1.0 + SICK_SHARE * good / usual).ln()
+            (1.0 + UNHEALTHY_SHARE * good / usual).ln()
         }
     }
 }
