--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -11,19 +11,19 @@
 
 use crate::class::Class;
 use crate::observation::Kind;
-use latency::{Latency, PRIOR_FAILS};
+use latency::{Latency, PRIOR_FAILURE_RATE};
 
 /// A request is stalled when it has been open for this many late thresholds. With three, a hanging
 /// request was noticed only after the deadlines of the operators' routes.
 const STALL_FACTOR: u32 = 2;
 /// On a route where more than this share of healthy requests is still open at some age, an open
 /// request of that age is no evidence.
-const USUALLY_OPEN: f64 = 0.25;
+const MAX_STILL_OPEN: f64 = 0.25;
 /// Late threshold of a route that this node does not know yet.
-const LATE_ON_UNKNOWN: Duration = Duration::from_millis(600);
+const UNKNOWN_LATE_AFTER: Duration = Duration::from_millis(600);
 
 /// Weight of the prior shares, in samples.
-const PRIOR: f64 = 400.0;
+const PRIOR_SAMPLES: f64 = 400.0;
 /// Prior shares of late, stalled, failed and shed outcomes.
 const PRIOR_SHARE: [f64; 4] = [0.02, 0.0005, 0.002, 0.05];
 /// Lower bounds of the estimated shares.
@@ -85,7 +85,7 @@
 impl Baseline {
     /// Answers of the route that take longer than this are late.
     pub(crate) fn late_after(&self, route: u32) -> Duration {
-        self.routes.get(&route).map_or(LATE_ON_UNKNOWN, |it| it.late_after)
+        self.routes.get(&route).map_or(UNKNOWN_LATE_AFTER, |it| it.late_after)
     }
 
     /// Share of the route's healthy requests that are still open after `elapsed`. Before enough
@@ -95,8 +95,8 @@
     }
 
     /// Share of the route's requests that fail at healthy endpoints.
-    pub(crate) fn fails(&self, route: u32) -> f64 {
-        self.routes.get(&route).map_or(PRIOR_FAILS, Latency::fails)
+    pub(crate) fn failure_rate(&self, route: u32) -> f64 {
+        self.routes.get(&route).map_or(PRIOR_FAILURE_RATE, Latency::failure_rate)
     }
 
     /// Requests of the route that are open for longer than this are stalled.
@@ -106,14 +106,14 @@
 
     /// Requests of the route that are open for longer than this are hedged.
     pub(crate) fn hedge_after(&self, route: u32) -> Duration {
-        self.routes.get(&route).map_or(LATE_ON_UNKNOWN, |it| it.hedge_after)
+        self.routes.get(&route).map_or(UNKNOWN_LATE_AFTER, |it| it.hedge_after)
     }
 
     /// The class of an outcome, or `None` if the outcome is no evidence.
     pub(crate) fn class_of(&self, kind: Kind, route: u32, elapsed: Duration) -> Option<Class> {
         let is_late = elapsed > self.late_after(route);
         let is_silence = matches!(kind, Kind::Stalled | Kind::TimedOut | Kind::Abandoned);
-        if is_silence && self.still_open(route, elapsed) > USUALLY_OPEN {
+        if is_silence && self.still_open(route, elapsed) > MAX_STILL_OPEN {
             return None;
         }
         match kind {
@@ -129,9 +129,9 @@
 
     /// Normal shares of late, stalled, failed and shed outcomes.
     pub(crate) fn shares(&self) -> [f64; 4] {
-        let total = self.tally.total() + PRIOR;
+        let total = self.tally.total() + PRIOR_SAMPLES;
         std::array::from_fn(|i| {
-            let share = (self.tally.bad[i] + PRIOR * PRIOR_SHARE[i]) / total;
+            let share = (self.tally.bad[i] + PRIOR_SAMPLES * PRIOR_SHARE[i]) / total;
             share.max(MIN_SHARE[i])
         })
     }
@@ -155,16 +155,16 @@
     }
 
     /// Adds an unanswered request, weighted by the probability that its endpoint is healthy.
-    pub(crate) fn add_unanswered(&mut self, route: u32, elapsed: Duration, well: f64) {
+    pub(crate) fn add_unanswered(&mut self, route: u32, elapsed: Duration, p_healthy: f64) {
         if let Some(latency) = self.routes.get_mut(&route) {
-            latency.add_unanswered(elapsed, well);
+            latency.add_unanswered(elapsed, p_healthy);
         }
     }
 
     /// Adds a failed request, weighted by the probability that its endpoint is healthy.
-    pub(crate) fn add_failed(&mut self, route: u32, well: f64) {
+    pub(crate) fn add_failed(&mut self, route: u32, p_healthy: f64) {
         if let Some(latency) = self.routes.get_mut(&route) {
-            latency.add_failed(well);
+            latency.add_failed(p_healthy);
         }
     }
 
--- a/crates/policy/src/baseline/latency.rs
+++ b/crates/policy/src/baseline/latency.rs
@@ -11,28 +11,28 @@
 /// Prior share of healthy answers within the route's objective.
 const WITHIN_OBJECTIVE: f64 = 0.9;
 /// Weight of that prior, in answers.
-const EXPECTED_WEIGHT: f64 = 3.0;
+const WITHIN_OBJECTIVE_WEIGHT: f64 = 3.0;
 /// Lower bound of the share of healthy requests still open at any age: some requests take very
 /// long.
 const MIN_STILL_OPEN: f64 = 0.005;
 /// Prior share of requests that fail at healthy endpoints.
-pub(super) const PRIOR_FAILS: f64 = 0.0125;
-/// Weight of [`PRIOR_FAILS`], in requests.
-const PRIOR_FAILS_WEIGHT: f64 = 60.0;
+pub(super) const PRIOR_FAILURE_RATE: f64 = 0.0125;
+/// Weight of [`PRIOR_FAILURE_RATE`], in requests.
+const PRIOR_FAILURE_RATE_WEIGHT: f64 = 60.0;
 /// Lower bound of the share of failures: rare failures are observed too seldom to count them.
-const MIN_FAILS: f64 = 0.004;
+const MIN_FAILURE_RATE: f64 = 0.004;
 /// A request is late enough for a hedge when at most this share of the healthy requests is still
 /// open.
-const HEDGE_SHARE: f64 = 0.2;
+const HEDGE_STILL_OPEN: f64 = 0.2;
 /// Number of ages, up to the latest start of a hedge, that are examined.
 const HEDGE_STEPS: u32 = 24;
 /// Fraction of the objective after which a hedge starts at the latest, so that its answer can still
 /// arrive in time.
-const HEDGE_OBJECTIVE_PART: f64 = 0.5;
+const HEDGE_OBJECTIVE_FRACTION: f64 = 0.5;
 /// Samples below which a route counts as unused.
-const FORGOTTEN: f64 = 0.01;
+const MIN_RETAINED_SAMPLES: f64 = 0.01;
 /// Lower bound of the late threshold.
-const MIN_LATE: Duration = Duration::from_millis(5);
+const MIN_LATE_AFTER: Duration = Duration::from_millis(5);
 
 /// Latencies of one route.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
             above: [0.0; BUCKETS + 1],
             unanswered_above: [0.0; BUCKETS + 1],
             late_after: objective,
-            hedge_after: objective.mul_f64(HEDGE_OBJECTIVE_PART),
+            hedge_after: objective.mul_f64(HEDGE_OBJECTIVE_FRACTION),
         }
     }
 
@@ -84,14 +84,14 @@
     }
 
     /// Adds an unanswered request, weighted by the probability that its endpoint is healthy.
-    pub(super) fn add_unanswered(&mut self, elapsed: Duration, well: f64) {
-        self.unanswered[bucket(elapsed)] += well as f32;
+    pub(super) fn add_unanswered(&mut self, elapsed: Duration, p_healthy: f64) {
+        self.unanswered[bucket(elapsed)] += p_healthy as f32;
         self.is_empty = false;
     }
 
     /// Adds a failed request, weighted by the probability that its endpoint is healthy.
-    pub(super) fn add_failed(&mut self, well: f64) {
-        self.failed += well;
+    pub(super) fn add_failed(&mut self, p_healthy: f64) {
+        self.failed += p_healthy;
         self.is_empty = false;
     }
 
@@ -110,27 +110,27 @@
             self.unanswered_above[i] = self.unanswered_above[i + 1] + self.unanswered[i];
         }
         if let Some(quantile) = quantile(&self.histogram) {
-            self.late_after = quantile.max(MIN_LATE);
+            self.late_after = quantile.max(MIN_LATE_AFTER);
         }
         self.hedge_after = self.find_hedge_after();
         let all = f64::from(self.above[0] + self.unanswered_above[0]) + self.failed;
-        if all < FORGOTTEN {
+        if all < MIN_RETAINED_SAMPLES {
             *self = Self { late_after: self.late_after, ..Self::new(self.objective) };
         }
     }
 
     /// The age at which few healthy requests are still open.
     fn find_hedge_after(&self) -> Duration {
-        let latest = self.objective.mul_f64(HEDGE_OBJECTIVE_PART);
-        let is_late = |it: &Duration| self.still_open(*it) <= HEDGE_SHARE;
+        let latest = self.objective.mul_f64(HEDGE_OBJECTIVE_FRACTION);
+        let is_late = |it: &Duration| self.still_open(*it) <= HEDGE_STILL_OPEN;
         let steps = (1..HEDGE_STEPS).map(|it| latest * it / HEDGE_STEPS);
         steps.into_iter().find(is_late).unwrap_or(latest)
     }
 
     /// Share of requests at healthy endpoints that fail.
-    pub(super) fn fails(&self) -> f64 {
-        let all = f64::from(self.above[0]) + self.failed + PRIOR_FAILS_WEIGHT;
-        ((self.failed + PRIOR_FAILS * PRIOR_FAILS_WEIGHT) / all).max(MIN_FAILS)
+    pub(super) fn failure_rate(&self) -> f64 {
+        let all = f64::from(self.above[0]) + self.failed + PRIOR_FAILURE_RATE_WEIGHT;
+        ((self.failed + PRIOR_FAILURE_RATE * PRIOR_FAILURE_RATE_WEIGHT) / all).max(MIN_FAILURE_RATE)
     }
 
     /// Share of healthy requests that are open for longer than `elapsed`, from the answers and from
@@ -139,11 +139,12 @@
         let in_objectives = elapsed.as_secs_f64() / self.objective.as_secs_f64().max(1e-3);
         let expected = (1.0 - WITHIN_OBJECTIVE).powf(in_objectives);
         let at = position(elapsed);
-        let (i, part) = (at as usize, at.fract());
-        let above = f64::from(self.above[i]) * (1.0 - part) + f64::from(self.above[i + 1]) * part;
+        let (i, fraction) = (at as usize, at.fract());
+        let above =
+            f64::from(self.above[i]) * (1.0 - fraction) + f64::from(self.above[i + 1]) * fraction;
         let given_up = f64::from(self.unanswered_above[i]);
-        let share = (above + given_up + EXPECTED_WEIGHT * expected)
-            / (f64::from(self.above[0]) + given_up + EXPECTED_WEIGHT);
+        let share = (above + given_up + WITHIN_OBJECTIVE_WEIGHT * expected)
+            / (f64::from(self.above[0]) + given_up + WITHIN_OBJECTIVE_WEIGHT);
         share.max(MIN_STILL_OPEN)
     }
 }
--- a/crates/policy/src/likelihoods.rs
+++ b/crates/policy/src/likelihoods.rs
@@ -14,20 +14,20 @@
 const PRIOR_OUTCOMES: f64 = 12.0;
 /// Prior shares of requests at an unhealthy endpoint that are answered, fail, and stay unanswered.
 /// They are nearly equal because nothing is known beforehand of how the service's endpoints fail.
-const PRIOR_ENDS: [f64; 3] = [0.3, 0.35, 0.35];
+const PRIOR_END_SHARES: [f64; 3] = [0.3, 0.35, 0.35];
 /// Prior share of unhealthy endpoints.
-const PRIOR_SICK: f64 = 0.2;
-/// Weight of [`PRIOR_SICK`], in endpoints.
+const PRIOR_P_UNHEALTHY: f64 = 0.2;
+/// Weight of [`PRIOR_P_UNHEALTHY`], in endpoints.
 const PRIOR_ENDPOINTS: f64 = 4.0;
-/// Bounds of the learned share of unhealthy endpoints. With a lower one, a single failure would not
-/// count; with a higher one, every endpoint would be doubted.
-const SICK_BOUNDS: (f64, f64) = (0.05, 0.4);
-/// Weight of the present share of unhealthy endpoints at each refresh: a half-life of seven
+/// Bounds of the learned share of unhealthy endpoints. With a smaller share a single failure would
+/// hardly change a belief; with a larger one no endpoint would count as healthy.
+const P_UNHEALTHY_BOUNDS: (f64, f64) = (0.05, 0.4);
+/// Weight of the current share of unhealthy endpoints at each refresh: a half-life of seven
 /// seconds.
-const SHARE_GAIN: f64 = 0.01;
+const P_UNHEALTHY_GAIN: f64 = 0.01;
 /// Share of the counts kept at each refresh: a half-life of seventy seconds, which covers several
 /// episodes.
-const KEEP: f64 = 0.999;
+const REFRESH_KEEP: f64 = 0.999;
 
 /// How a request ended at an unhealthy endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -41,30 +41,30 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Likelihoods {
     /// Outcomes at unhealthy endpoints, indexed by `End`.
-    at_sick: [f64; 3],
-    /// Share of unhealthy endpoints.
-    share: f64,
+    at_unhealthy: [f64; 3],
+    /// Share of unhealthy endpoints, which is the probability for an endpoint without evidence.
+    p_unhealthy: f64,
 }
 
 impl Default for Likelihoods {
     fn default() -> Self {
-        Self { at_sick: [0.0; 3], share: PRIOR_SICK }
+        Self { at_unhealthy: [0.0; 3], p_unhealthy: PRIOR_P_UNHEALTHY }
     }
 }
 
 impl Likelihoods {
     /// Probability that an endpoint without recent outcomes is unhealthy.
     pub(crate) fn p_unhealthy(&self) -> f64 {
-        self.share
+        self.p_unhealthy
     }
 
     /// Likelihood ratio (unhealthy against healthy) of an outcome. Outcomes that depend on load
     /// alone are no evidence.
     pub(crate) fn ratio(&self, baseline: &Baseline, kind: Kind, route: u32) -> f64 {
         match kind {
-            Kind::Answered => self.part(End::Answered) / (1.0 - baseline.fails(route)),
+            Kind::Answered => self.end_share(End::Answered) / (1.0 - baseline.failure_rate(route)),
             Kind::Failed | Kind::Crashed | Kind::Unreachable => {
-                self.part(End::Failed) / baseline.fails(route)
+                self.end_share(End::Failed) / baseline.failure_rate(route)
             }
             _ => 1.0,
         }
@@ -73,39 +73,39 @@
     /// Likelihood ratio (unhealthy against healthy) of a request that is still open, where the
     /// share `still_open` of the requests at healthy endpoints is open at that age.
     pub(crate) fn silence_ratio(&self, still_open: f64) -> f64 {
-        let silent = self.part(End::Silent);
+        let silent = self.end_share(End::Silent);
         (silent + (1.0 - silent) * still_open) / still_open
     }
 
-    /// Counts an outcome at an endpoint that is unhealthy with the probability `sick`.
-    pub(crate) fn learn(&mut self, kind: Kind, sick: f64) {
+    /// Counts an outcome at an endpoint that is unhealthy with the probability `p_unhealthy`.
+    pub(crate) fn learn(&mut self, kind: Kind, p_unhealthy: f64) {
         let end = match kind {
             Kind::Answered => End::Answered,
             Kind::Failed | Kind::Crashed => End::Failed,
             Kind::TimedOut | Kind::LostToHedge => End::Silent,
             Kind::Unreachable | Kind::Shed | Kind::Abandoned | Kind::Stalled => return,
         };
-        if sick > 0.5 {
-            self.at_sick[end as usize] += 1.0;
+        if p_unhealthy > 0.5 {
+            self.at_unhealthy[end as usize] += 1.0;
         }
     }
 
     /// Decays the counts and follows the probabilities of the endpoints in use.
-    pub(crate) fn refresh(&mut self, sick: impl Iterator<Item = f64>) {
-        self.at_sick.iter_mut().for_each(|it| *it *= KEEP);
-        let (mut sum, mut n) = (PRIOR_SICK * PRIOR_ENDPOINTS, PRIOR_ENDPOINTS);
-        for it in sick {
+    pub(crate) fn refresh(&mut self, p_unhealthy: impl Iterator<Item = f64>) {
+        self.at_unhealthy.iter_mut().for_each(|it| *it *= REFRESH_KEEP);
+        let (mut sum, mut n) = (PRIOR_P_UNHEALTHY * PRIOR_ENDPOINTS, PRIOR_ENDPOINTS);
+        for it in p_unhealthy {
             sum += it;
             n += 1.0;
         }
-        self.share += SHARE_GAIN * (sum / n - self.share);
-        self.share = self.share.clamp(SICK_BOUNDS.0, SICK_BOUNDS.1);
+        self.p_unhealthy += P_UNHEALTHY_GAIN * (sum / n - self.p_unhealthy);
+        self.p_unhealthy = self.p_unhealthy.clamp(P_UNHEALTHY_BOUNDS.0, P_UNHEALTHY_BOUNDS.1);
     }
 
     /// The estimated share of requests at unhealthy endpoints that end like this.
-    fn part(&self, end: End) -> f64 {
-        let total: f64 = self.at_sick.iter().sum();
+    fn end_share(&self, end: End) -> f64 {
+        let total: f64 = self.at_unhealthy.iter().sum();
         let i = end as usize;
-        (self.at_sick[i] + PRIOR_ENDS[i] * PRIOR_OUTCOMES) / (total + PRIOR_OUTCOMES)
+        (self.at_unhealthy[i] + PRIOR_END_SHARES[i] * PRIOR_OUTCOMES) / (total + PRIOR_OUTCOMES)
     }
 }
