--- a/crates/policy/src/unserved.rs
+++ b/crates/policy/src/unserved.rs
@@ -13,18 +13,18 @@
 use crate::time::Time;
 
 /// Time constant with which outcomes decay. The availability target uses windows of two seconds.
-const MEMORY: Duration = Duration::from_secs(2);
+const TIME_CONSTANT: Duration = Duration::from_secs(2);
 /// Share of unserved requests above which failed endpoints are tried again sooner. The availability
 /// target takes effect at a tenth of the requests.
-const STRAINED: f64 = 0.09;
+const UNSERVED_ABOVE: f64 = 0.09;
 /// Share of unserved requests above which no endpoint stays idle for long. When three endpoints of
 /// ten are unhealthy at any time and none of them is tried, one request of forty fails.
-const GROWING: f64 = 0.06;
+const GROWING_ABOVE: f64 = 0.06;
 /// Time constant of the shorter window, which shows a sudden change earlier.
-const LATEST: Duration = Duration::from_millis(400);
+const RECENT_TIME_CONSTANT: Duration = Duration::from_millis(400);
 /// Share of unserved requests in the shorter window above which no endpoint stays idle for long. It
 /// is higher because the share varies more in a smaller sample.
-const LATEST_GROWING: f64 = 0.12;
+const RECENT_GROWING_ABOVE: f64 = 0.12;
 /// Number of outcomes up to which the share is taken as zero.
 const MIN_OUTCOMES: f64 = 5.0;
 
@@ -38,7 +38,7 @@
 /// Exponentially decaying counts.
 #[derive(Clone, Copy, Debug)]
 struct Decayed {
-    memory: Duration,
+    time_constant: Duration,
     served: f64,
     unserved: f64,
     at: Time,
@@ -47,20 +47,20 @@
 /// Counts of served and unserved requests over both windows.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnservedShare {
-    lately: Decayed,
-    latest: Decayed,
+    window: Decayed,
+    recent: Decayed,
 }
 
 impl Default for UnservedShare {
     fn default() -> Self {
-        Self { lately: Decayed::over(MEMORY), latest: Decayed::over(LATEST) }
+        Self { window: Decayed::over(TIME_CONSTANT), recent: Decayed::over(RECENT_TIME_CONSTANT) }
     }
 }
 
 impl UnservedShare {
     /// Records one request.
-    pub(crate) fn note(&mut self, now: Time, ending: Completion) {
-        let (served, unserved) = match ending {
+    pub(crate) fn note(&mut self, now: Time, completion: Completion) {
+        let (served, unserved) = match completion {
             Completion::Served => (1.0, 0.0),
             Completion::Unserved => (0.0, 1.0),
         };
@@ -79,29 +79,29 @@
     }
 
     fn add(&mut self, now: Time, served: f64, unserved: f64) {
-        self.lately.add(now, served, unserved);
-        self.latest.add(now, served, unserved);
+        self.window.add(now, served, unserved);
+        self.recent.add(now, served, unserved);
     }
 
     /// The pressure that follows from the share of unserved requests.
     pub(crate) fn pressure(&self, now: Time) -> Pressure {
-        let lately = self.lately.unserved_share(now);
-        match lately {
-            it if it > STRAINED => Pressure::Unserved,
-            it if it > GROWING => Pressure::Growing,
-            _ if self.latest.unserved_share(now) > LATEST_GROWING => Pressure::Growing,
+        let share = self.window.unserved_share(now);
+        match share {
+            it if it > UNSERVED_ABOVE => Pressure::Unserved,
+            it if it > GROWING_ABOVE => Pressure::Growing,
+            _ if self.recent.unserved_share(now) > RECENT_GROWING_ABOVE => Pressure::Growing,
             _ => Pressure::None,
         }
     }
 }
 
 impl Decayed {
-    fn over(memory: Duration) -> Self {
-        Self { memory, served: 0.0, unserved: 0.0, at: Time(0) }
+    fn over(time_constant: Duration) -> Self {
+        Self { time_constant, served: 0.0, unserved: 0.0, at: Time(0) }
     }
 
     fn add(&mut self, now: Time, served: f64, unserved: f64) {
-        let keep = (-now.since(self.at).as_secs_f64() / self.memory.as_secs_f64()).exp();
+        let keep = (-now.since(self.at).as_secs_f64() / self.time_constant.as_secs_f64()).exp();
         self.served = (self.served * keep + served).max(0.0);
         self.unserved = self.unserved * keep + unserved;
         self.at = now;
@@ -110,7 +110,7 @@
     /// The share of unserved requests; zero when there are too few or no recent outcomes.
     fn unserved_share(&self, now: Time) -> f64 {
         let all = self.served + self.unserved;
-        let is_old = now.since(self.at) > self.memory;
+        let is_old = now.since(self.at) > self.time_constant;
         if is_old || all <= MIN_OUTCOMES { 0.0 } else { self.unserved / all }
     }
 }
