--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -42,16 +42,16 @@
 
 /// Fraction of the ratio that is used, because credit earned shortly before a window may be spent
 /// within it (`credit`).
-const RATIO_PART: f64 = 0.9;
+const RATIO_FRACTION: f64 = 0.9;
 /// Fraction of the fixed part that one granting node uses in a window.
-const EXTRA_PART: f64 = 0.5;
+const EXTRA_FRACTION: f64 = 0.5;
 /// How often per window the nodes that have not asked for a whole window are dropped.
-const FORGET_TIMES: usize = 20;
+const ASKER_CHECKS_PER_WINDOW: usize = 20;
 /// Fraction of the budget that hedges leave for repeats after failures.
-const KEPT_FOR_FAILURES: f64 = 0.4;
+const RESERVED_FOR_FAILURES: f64 = 0.4;
 /// Remaining fraction of the budget below which it is short: the first send of a request may then
 /// be its last.
-const SHORT: f64 = 0.35;
+const SHORT_BELOW: f64 = 0.35;
 
 /// One of the limits on repeats: the allowed and the spent number.
 #[derive(Clone, Copy, Debug)]
@@ -61,9 +61,9 @@
 }
 
 impl Balance {
-    /// Whether one more repeat fits while the fraction `kept` is reserved.
-    fn has_room(self, kept: f64) -> bool {
-        self.spent + 1.0 <= self.allowed * (1.0 - kept)
+    /// Whether one more repeat fits while the fraction `reserved` is set aside.
+    fn has_room(self, reserved: f64) -> bool {
+        self.spent + 1.0 <= self.allowed * (1.0 - reserved)
     }
 }
 
@@ -78,7 +78,7 @@
     /// Nodes that assign their share to this node, and when they last asked.
     askers: FxHashMap<NodeId, Time>,
     /// The slice in which outdated askers were last dropped.
-    forgot_in: u64,
+    askers_checked_in: u64,
     /// Number of known nodes in the fleet.
     nodes: usize,
     /// Repeats that wait for a slot. They count as spent, but enter a slice only when they are
@@ -119,7 +119,7 @@
             window: Window::new(limits.window),
             credit: Credit::new(now, limits.window),
             askers: FxHashMap::default(),
-            forgot_in: 0,
+            askers_checked_in: 0,
             nodes: 1,
             reserved: 0,
             first_total: 0,
@@ -153,19 +153,19 @@
     /// Records that `node` assigns its share to this node.
     pub fn hold_share(&mut self, now: Time, node: NodeId) {
         self.accrue(now);
-        let before = self.part();
+        let before = self.held_fraction();
         self.askers.insert(node, now);
-        let more = self.part() - before;
-        self.credit.bring(&self.limits, more);
+        let increase = self.held_fraction() - before;
+        self.credit.add_initial(&self.limits, increase);
     }
 
     /// Whether the budget allows one further send now.
-    pub fn allows(&mut self, now: Time, what: Spend) -> bool {
-        let kept = match what {
+    pub fn allows(&mut self, now: Time, spend: Spend) -> bool {
+        let reserved = match spend {
             Spend::OnFailure => 0.0,
-            Spend::OnHedge => KEPT_FOR_FAILURES,
+            Spend::OnHedge => RESERVED_FOR_FAILURES,
         };
-        let is_allowed = self.balances(now).iter().all(|it| it.has_room(kept));
+        let is_allowed = self.balances(now).iter().all(|it| it.has_room(reserved));
         self.refused += u64::from(!is_allowed);
         is_allowed
     }
@@ -183,7 +183,7 @@
     /// Whether a further send with a reservation may still go out: the credit for it may have
     /// expired while it waited.
     pub fn covers(&self, now: Time) -> bool {
-        self.credit.balance(now, &self.limits, self.part()).has_room(0.0)
+        self.credit.balance(now, &self.limits, self.held_fraction()).has_room(0.0)
     }
 
     /// Records a further send.
@@ -196,7 +196,7 @@
 
     /// Whether so little is left that a failed first send may get no repeat.
     pub fn is_short(&mut self, now: Time) -> bool {
-        !self.balances(now).iter().all(|it| it.has_room(SHORT))
+        !self.balances(now).iter().all(|it| it.has_room(SHORT_BELOW))
     }
 
     /// Repeats refused since the start.
@@ -222,35 +222,35 @@
 
     /// The limit of the window that ends now, and that of the recently earned credit.
     fn balances(&mut self, now: Time) -> [Balance; 2] {
-        self.forget_askers(now);
+        self.drop_outdated_askers(now);
         let (first, repeats) = self.window.counts(now);
-        let part = self.part();
-        let extra = self.limits.extra * EXTRA_PART * part;
+        let fraction = self.held_fraction();
+        let extra = self.limits.extra * EXTRA_FRACTION * fraction;
         let window = Balance {
-            allowed: f64::from(first) * self.limits.ratio * RATIO_PART + extra,
+            allowed: f64::from(first) * self.limits.ratio * RATIO_FRACTION + extra,
             spent: f64::from(repeats + self.reserved),
         };
-        let mut credit = self.credit.balance(now, &self.limits, part);
+        let mut credit = self.credit.balance(now, &self.limits, fraction);
         credit.spent += f64::from(self.reserved);
         [window, credit]
     }
 
     /// The fraction of the fixed part that is spent here: the shares of the nodes that have asked.
-    fn part(&self) -> f64 {
+    fn held_fraction(&self) -> f64 {
         (self.askers.len() as f64 / self.nodes as f64).min(1.0)
     }
 
     /// Lets the credit from the fixed part accrue up to now.
     fn accrue(&mut self, now: Time) {
-        let part = self.part();
-        self.credit.accrue(now, &self.limits, part);
+        let fraction = self.held_fraction();
+        self.credit.accrue(now, &self.limits, fraction);
     }
 
     /// Drops outdated askers, only once per slice because there may be hundreds of them.
-    fn forget_askers(&mut self, now: Time) {
+    fn drop_outdated_askers(&mut self, now: Time) {
         let length = self.limits.window;
-        let number = slice_number(now, length, FORGET_TIMES);
-        if std::mem::replace(&mut self.forgot_in, number) != number {
+        let number = slice_number(now, length, ASKER_CHECKS_PER_WINDOW);
+        if std::mem::replace(&mut self.askers_checked_in, number) != number {
             self.accrue(now);
             self.askers.retain(|_, at| now.since(*at) < length);
         }
--- a/crates/policy/src/budget/credit.rs
+++ b/crates/policy/src/budget/credit.rs
@@ -13,23 +13,23 @@
 use std::time::Duration;
 
 use super::window::slice_number;
-use super::{Balance, BudgetLimits, RATIO_PART};
+use super::{Balance, BudgetLimits, RATIO_FRACTION};
 use crate::time::Time;
 
-/// Lifetime of earned credit, as a divisor of the window. Together with `RATIO_PART`, it keeps the
-/// repeats of a window within the ratio.
-const LIFETIME_PART: u32 = 10;
+/// Lifetime of earned credit, as a divisor of the window. Together with [`RATIO_FRACTION`], it keeps
+/// the repeats of a window within the ratio.
+const LIFETIME_DIVISOR: u32 = 10;
 /// Number of slices of the lifetime that are counted separately.
 const SLICES: usize = 5;
 /// Fraction of the fixed part that accrues in a window.
-const EXTRA_ACCRUES: f64 = 0.4;
+const EXTRA_ACCRUAL: f64 = 0.4;
 /// Fraction of the fixed part that can be accumulated. A window can hold this amount and the one
 /// that accrues in it.
-const EXTRA_READY: f64 = 0.3;
+const EXTRA_CAPACITY: f64 = 0.3;
 /// Fraction of the fixed part that a node's share contributes at once when the node assigns the
 /// share to this one, so that a recently started service can repeat. What the other two fractions
 /// leave covers seven restarts of the whole fleet in a window.
-const EXTRA_BROUGHT: f64 = 0.04;
+const EXTRA_INITIAL: f64 = 0.04;
 
 /// The credit earned in one slice, and what is left of it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -52,17 +52,17 @@
 struct Extra {
     at: Time,
     /// What would be left if nothing had been spent.
-    ready: f64,
+    available: f64,
     left: f64,
 }
 
 impl Credit {
     pub(super) fn new(now: Time, window: Duration) -> Self {
-        let lifetime = window / LIFETIME_PART;
+        let lifetime = window / LIFETIME_DIVISOR;
         Self {
             lifetime,
             slices: Default::default(),
-            extra: Extra { at: now, ready: 0.0, left: 0.0 },
+            extra: Extra { at: now, available: 0.0, left: 0.0 },
         }
     }
 
@@ -73,50 +73,50 @@
         if it.number != number {
             *it = Slice { number, ..Slice::default() };
         }
-        it.earned += limits.ratio * RATIO_PART;
-        it.left += limits.ratio * RATIO_PART;
+        it.earned += limits.ratio * RATIO_FRACTION;
+        it.left += limits.ratio * RATIO_FRACTION;
     }
 
-    /// Lets the credit from the fixed part accrue. The fraction `part` of the fixed part is spent
-    /// here.
-    pub(super) fn accrue(&mut self, now: Time, limits: &BudgetLimits, part: f64) {
-        self.extra = self.extra.after(now, limits, part);
+    /// Lets the credit from the fixed part accrue; `fraction` is the share of the fixed part that is
+    /// spent here.
+    pub(super) fn accrue(&mut self, now: Time, limits: &BudgetLimits, fraction: f64) {
+        self.extra = self.extra.after(now, limits, fraction);
     }
 
-    /// Applies that the fraction of the fixed part spent here grows by `more`.
-    pub(super) fn bring(&mut self, limits: &BudgetLimits, more: f64) {
-        let brought = limits.extra * EXTRA_BROUGHT * more;
-        self.extra.ready += brought;
-        self.extra.left += brought;
+    /// Applies that the fraction of the fixed part spent here grows by `increase`.
+    pub(super) fn add_initial(&mut self, limits: &BudgetLimits, increase: f64) {
+        let initial = limits.extra * EXTRA_INITIAL * increase;
+        self.extra.available += initial;
+        self.extra.left += initial;
     }
 
     /// The credit that would be available if nothing had been spent, and how much of it is spent.
-    pub(super) fn balance(&self, now: Time, limits: &BudgetLimits, part: f64) -> Balance {
-        let earned: f64 = self.lasting(now).map(|it| it.earned).sum();
-        let left: f64 = self.lasting(now).map(|it| it.left).sum();
-        let extra = self.extra.after(now, limits, part);
-        let allowed = earned + extra.ready;
+    pub(super) fn balance(&self, now: Time, limits: &BudgetLimits, fraction: f64) -> Balance {
+        let earned: f64 = self.unexpired(now).map(|it| it.earned).sum();
+        let left: f64 = self.unexpired(now).map(|it| it.left).sum();
+        let extra = self.extra.after(now, limits, fraction);
+        let allowed = earned + extra.available;
         Balance { allowed, spent: allowed - left - extra.left }
     }
 
     /// Pays for one repeat; the credit that expires first is used first.
     pub(super) fn spend(&mut self, now: Time) {
         let oldest = self.number(now).saturating_sub(SLICES as u64 - 1);
-        let mut due = 1.0;
+        let mut owed = 1.0;
         for number in oldest..oldest + SLICES as u64 {
             let it = &mut self.slices[(number % SLICES as u64) as usize];
             if it.number == number {
-                let paid = it.left.min(due);
+                let paid = it.left.min(owed);
                 it.left -= paid;
-                due -= paid;
+                owed -= paid;
             }
         }
-        self.extra.left -= due;
+        self.extra.left -= owed;
     }
 
     /// Slices that have not expired. The current slice is not complete, so that credit expires up
     /// to one slice early.
-    fn lasting(&self, now: Time) -> impl Iterator<Item = &Slice> {
+    fn unexpired(&self, now: Time) -> impl Iterator<Item = &Slice> {
         let number = self.number(now);
         self.slices.iter().filter(move |it| it.number + SLICES as u64 > number)
     }
@@ -128,11 +128,11 @@
 
 impl Extra {
     /// The credit at `now`.
-    fn after(self, now: Time, limits: &BudgetLimits, part: f64) -> Self {
+    fn after(self, now: Time, limits: &BudgetLimits, fraction: f64) -> Self {
         let windows = now.since(self.at).as_secs_f64() / limits.window.as_secs_f64();
-        let accrued = limits.extra * EXTRA_ACCRUES * part * windows;
-        let most = limits.extra * EXTRA_READY * part;
-        let ready = (self.ready + accrued).min(most);
-        Self { at: now, ready, left: (self.left + accrued).min(ready) }
+        let accrued = limits.extra * EXTRA_ACCRUAL * fraction * windows;
+        let capacity = limits.extra * EXTRA_CAPACITY * fraction;
+        let available = (self.available + accrued).min(capacity);
+        Self { at: now, available, left: (self.left + accrued).min(available) }
     }
 }
