--- a/crates/policy/src/allowance.rs
+++ b/crates/policy/src/allowance.rs
@@ -29,7 +29,7 @@
 pub const OWNERS: usize = 4;
 /// Buckets without an ask for this long are dropped. A later ask gets the same result from a new
 /// bucket.
-const FORGET_AFTER: Duration = Duration::from_secs(60);
+const UNUSED_AFTER: Duration = Duration::from_secs(60);
 /// Rendezvous key that selects the nodes that own buckets.
 const OWNERS_KEY: u64 = 0x0a11_0a4c_e5ca_feed;
 
@@ -42,7 +42,7 @@
     NotYet,
     /// The allowance is used up.
     Exhausted {
-        /// Time until the next request may run. Asking earlier has no success.
+        /// Time until the next request may run. Asking earlier cannot succeed.
         next: Duration,
         /// Time until this request may run, after those that were refused before it.
         retry_after: Duration,
@@ -91,7 +91,7 @@
     me: NodeId,
     shares: Shares,
     buckets: FxHashMap<u64, Bucket>,
-    next_forget: Time,
+    next_cleanup: Time,
 }
 
 impl Buckets {
@@ -101,7 +101,7 @@
             me,
             shares: Shares::new(),
             buckets: FxHashMap::default(),
-            next_forget: Time::default(),
+            next_cleanup: Time::default(),
         }
     }
 
@@ -132,7 +132,7 @@
     }
 
     fn bucket(&mut self, now: Time, organisation: u64) -> (&mut Bucket, Supply) {
-        self.forget(now);
+        self.drop_unused(now);
         let supply = self.shares.supply(now, self.me, organisation);
         let bucket = self.buckets.entry(organisation).or_insert_with(|| Bucket::new(now));
         (bucket, supply)
@@ -143,11 +143,11 @@
         self.buckets.iter().map(|(organisation, it)| it.report(*organisation))
     }
 
-    fn forget(&mut self, now: Time) {
-        if now >= self.next_forget {
-            self.next_forget = now + FORGET_AFTER;
-            self.buckets.retain(|_, it| it.is_in_use(now, FORGET_AFTER));
-            self.shares.forget(now);
+    fn drop_unused(&mut self, now: Time) {
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + UNUSED_AFTER;
+            self.buckets.retain(|_, it| it.is_in_use(now, UNUSED_AFTER));
+            self.shares.drop_outdated(now);
         }
     }
 }
