--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -26,25 +26,25 @@
 pub(crate) struct Queue<T> {
     waiting: Vec<Waiting<T>>,
     /// Service received by each waiting organisation, in slots divided by weight.
-    served: FxHashMap<u64, f64>,
+    service: FxHashMap<u64, f64>,
     /// Service of the organisation that was served last; organisations without recorded service
     /// start from here.
-    clock: f64,
+    last_service: f64,
 }
 
 /// Sort key of a request: priority, service received by the organisation, position.
-type Order = (Priority, f64, usize);
+type SortKey = (Priority, f64, usize);
 
-fn compare(a: &Order, b: &Order) -> std::cmp::Ordering {
+fn compare(a: &SortKey, b: &SortKey) -> std::cmp::Ordering {
     a.partial_cmp(b).expect("no NaN")
 }
 
 /// Maximum number of organisations whose past service is remembered.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_ORGANISATIONS: usize = 4_096;
 
 impl<T> Queue<T> {
     pub(crate) fn new() -> Self {
-        Self { waiting: Vec::new(), served: FxHashMap::default(), clock: 0.0 }
+        Self { waiting: Vec::new(), service: FxHashMap::default(), last_service: 0.0 }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -80,14 +80,14 @@
     /// it is called only for requests ahead of the best match so far; usually the first request
     /// fits.
     pub(crate) fn best<'a>(&'a self, mut fits: impl FnMut(&'a T) -> bool) -> Option<usize> {
-        let orders: Vec<_> = (0..self.waiting.len()).map(|i| self.order(i)).collect();
-        let first = (0..orders.len()).min_by(|a, b| compare(&orders[*a], &orders[*b]))?;
+        let keys: Vec<_> = (0..self.waiting.len()).map(|i| self.sort_key(i)).collect();
+        let first = (0..keys.len()).min_by(|a, b| compare(&keys[*a], &keys[*b]))?;
         if fits(&self.waiting[first].item) {
             return Some(first);
         }
         let mut best: Option<usize> = None;
-        for i in 0..orders.len() {
-            let is_before = best.is_none_or(|it| compare(&orders[i], &orders[it]).is_lt());
+        for i in 0..keys.len() {
+            let is_before = best.is_none_or(|it| compare(&keys[i], &keys[it]).is_lt());
             if i != first && is_before && fits(&self.waiting[i].item) {
                 best = Some(i);
             }
@@ -103,30 +103,30 @@
     /// Removes the request at a position and accounts for the service to its organisation.
     pub(crate) fn take(&mut self, i: usize) -> Waiting<T> {
         let it = self.waiting.remove(i);
-        self.account(&it);
+        self.record_service(&it);
         it
     }
 
-    /// Removes and returns the requests for which `gone` holds.
-    pub(crate) fn extract(&mut self, gone: impl Fn(&Waiting<T>) -> bool) -> Vec<Waiting<T>> {
-        let (out, kept) = std::mem::take(&mut self.waiting).into_iter().partition(gone);
+    /// Removes and returns the requests for which `matches` holds.
+    pub(crate) fn extract(&mut self, matches: impl Fn(&Waiting<T>) -> bool) -> Vec<Waiting<T>> {
+        let (out, kept) = std::mem::take(&mut self.waiting).into_iter().partition(matches);
         self.waiting = kept;
         out
     }
 
-    fn order(&self, i: usize) -> Order {
+    fn sort_key(&self, i: usize) -> SortKey {
         let it = &self.waiting[i];
-        let served = self.served.get(&it.organisation).copied().unwrap_or(0.0);
-        (it.priority, served.max(self.clock), i)
+        let service = self.service.get(&it.organisation).copied().unwrap_or(0.0);
+        (it.priority, service.max(self.last_service), i)
     }
 
-    fn account(&mut self, it: &Waiting<T>) {
-        if self.served.len() >= MAX_REMEMBERED {
-            self.served.clear();
+    fn record_service(&mut self, it: &Waiting<T>) {
+        if self.service.len() >= MAX_ORGANISATIONS {
+            self.service.clear();
         }
-        let served = self.served.entry(it.organisation).or_insert(0.0);
-        let start = served.max(self.clock);
-        *served = start + 1.0 / f64::from(it.weight.max(1));
-        self.clock = start;
+        let service = self.service.entry(it.organisation).or_insert(0.0);
+        let start = service.max(self.last_service);
+        *service = start + 1.0 / f64::from(it.weight.max(1));
+        self.last_service = start;
     }
 }
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -15,19 +15,19 @@
 use crate::time::Time;
 
 /// Consecutive crashes after which a request is rejected.
-const CRASHES: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 /// How long a request is rejected the first time. After that one send is allowed, because a new
 /// release of the service may handle the request; each further crash doubles the time.
-const REJECTED_FOR: Duration = Duration::from_secs(120);
+const FIRST_REJECTION: Duration = Duration::from_secs(120);
 /// Maximum number of doublings, which limits the rejection to about an hour.
 const MAX_DOUBLINGS: u32 = 5;
 /// Crashes further apart than this are unrelated.
-const SUSPECTED_FOR: Duration = Duration::from_secs(600);
+const SUSPICION_LIFETIME: Duration = Duration::from_secs(600);
 /// Maximum number of suspect requests. Those with the fewest crashes are dropped first, among them
 /// those with the oldest last crash.
 const MAX_SUSPECTS: usize = 1024;
 /// How long an answered request is exempt: a frequent request meets crashes that it did not cause.
-const ANSWERED_FOR: Duration = Duration::from_secs(10);
+const EXEMPTION: Duration = Duration::from_secs(10);
 /// Answered requests that are remembered, at most twice this number. Beyond that, some requests
 /// lose the exemption until they are answered again.
 const MAX_ANSWERED: usize = 4096;
@@ -73,45 +73,45 @@
     by_key: FxHashMap<RequestKey, Suspect>,
     answered: Answered,
     /// Rejections since the last call of `take_rejections`.
-    news: Vec<Rejection>,
+    new_rejections: Vec<Rejection>,
 }
 
 impl Suspects {
     /// Records that an endpoint's process ended under a request that was sent at `sent`.
     pub(crate) fn crashed(&mut self, now: Time, request: RequestKey, sent: Time) {
-        if self.answered.has(now, request) {
+        if self.answered.contains(now, request) {
             return;
         }
         let it = self.entry(now, request);
-        let is_next = it.crashes == 0 || sent >= it.known_at;
-        if now < it.rejected_until || !is_next {
+        let is_consecutive = it.crashes == 0 || sent >= it.known_at;
+        if now < it.rejected_until || !is_consecutive {
             return;
         }
         it.crashes += 1;
         it.known_at = now;
-        if it.crashes < CRASHES {
+        if it.crashes < MAX_CRASHES {
             return;
         }
-        let length = REJECTED_FOR * 2_u32.pow(it.rejections.min(MAX_DOUBLINGS));
+        let length = FIRST_REJECTION * 2_u32.pow(it.rejections.min(MAX_DOUBLINGS));
         it.rejections += 1;
         it.reject(now + length);
-        self.news.push(Rejection { request, valid_ms: length.as_millis() as u32 });
+        self.new_rejections.push(Rejection { request, valid_ms: length.as_millis() as u32 });
     }
 
     /// Records a complete answer.
     pub(crate) fn answered(&mut self, now: Time, request: RequestKey) {
         self.by_key.remove(&request);
-        self.answered.note(now, request);
+        self.answered.record(now, request);
     }
 
     /// Applies a rejection by another node; returns whether the rejection was unknown here.
     pub(crate) fn reject(&mut self, now: Time, it: Rejection) -> bool {
         let until = now + Duration::from_millis(it.valid_ms.into());
         let suspect = self.entry(now, it.request);
-        let is_news = now >= suspect.rejected_until;
+        let is_unknown = now >= suspect.rejected_until;
         suspect.rejections = suspect.rejections.max(1);
         suspect.reject(until.max(suspect.rejected_until));
-        is_news
+        is_unknown
     }
 
     /// For how much longer a request is rejected.
@@ -133,19 +133,20 @@
 
     /// Returns the rejections by this dispatcher since the last call.
     pub(crate) fn take_rejections(&mut self) -> Vec<Rejection> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.new_rejections)
     }
 
     /// Drops requests whose last crash is long ago.
     pub(crate) fn tick(&mut self, now: Time) {
-        self.by_key.retain(|_, it| now.since(it.known_at.max(it.rejected_until)) < SUSPECTED_FOR);
+        self.by_key
+            .retain(|_, it| now.since(it.known_at.max(it.rejected_until)) < SUSPICION_LIFETIME);
     }
 
     /// The entry of a request, created if missing.
     fn entry(&mut self, now: Time, request: RequestKey) -> &mut Suspect {
         if self.by_key.len() >= MAX_SUSPECTS && !self.by_key.contains_key(&request) {
-            let least = self.by_key.iter().min_by_key(|(_, it)| (it.crashes, it.known_at));
-            if let Some(key) = least.map(|(key, _)| *key) {
+            let least_suspect = self.by_key.iter().min_by_key(|(_, it)| (it.crashes, it.known_at));
+            if let Some(key) = least_suspect.map(|(key, _)| *key) {
                 self.by_key.remove(&key);
             }
         }
@@ -162,7 +163,7 @@
     /// Rejects the request until `until`. One further crash after that rejects it again.
     fn reject(&mut self, until: Time) {
         self.rejected_until = until;
-        self.crashes = CRASHES - 1;
+        self.crashes = MAX_CRASHES - 1;
         self.known_at = self.known_at.max(until);
     }
 }
@@ -171,23 +172,23 @@
 #[derive(Clone, Debug, Default)]
 struct Answered {
     since: Time,
-    last: FxHashSet<RequestKey>,
-    before: FxHashSet<RequestKey>,
+    current: FxHashSet<RequestKey>,
+    previous: FxHashSet<RequestKey>,
 }
 
 impl Answered {
     /// Records an answered request.
-    fn note(&mut self, now: Time, request: RequestKey) {
-        if now.since(self.since) >= ANSWERED_FOR || self.last.len() >= MAX_ANSWERED {
-            self.before = std::mem::take(&mut self.last);
+    fn record(&mut self, now: Time, request: RequestKey) {
+        if now.since(self.since) >= EXEMPTION || self.current.len() >= MAX_ANSWERED {
+            self.previous = std::mem::take(&mut self.current);
             self.since = now;
         }
-        self.last.insert(request);
+        self.current.insert(request);
     }
 
     /// Whether a request was answered recently.
-    fn has(&self, now: Time, request: RequestKey) -> bool {
-        let is_old = now.since(self.since) >= ANSWERED_FOR * 2;
-        !is_old && (self.last.contains(&request) || self.before.contains(&request))
+    fn contains(&self, now: Time, request: RequestKey) -> bool {
+        let is_old = now.since(self.since) >= EXEMPTION * 2;
+        !is_old && (self.current.contains(&request) || self.previous.contains(&request))
     }
 }
