--- a/crates/policy/src/dispatcher/paced.rs
+++ b/crates/policy/src/dispatcher/paced.rs
@@ -44,7 +44,7 @@
 
     /// Whether an endpoint is under a rate limit.
     pub fn has_limits(&self, now: Time) -> bool {
-        self.loads.iter().any(|it| it.said.pace.bound(now).is_some())
+        self.loads.iter().any(|it| it.said.pace.effective_limit(now).is_some())
     }
 
     /// Follows what the registry tells of cold endpoints. One in a failure domain whose evacuation ends may be cold too:
--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -10,10 +10,10 @@
 use crate::time::Time;
 
 /// Lowest rate of sends, in requests a second, under any limit: only an answer can lift the limit.
-const LEAST_RATE: f64 = 0.25;
+const MIN_RATE_PER_S: f64 = 0.25;
 /// A limit is passed on to other nodes for this long after the answer that stated it. While the
 /// limit lasts, later answers state it again.
-const PASSED_ON_FOR: Duration = Duration::from_secs(10);
+const PASS_ON_TIME: Duration = Duration::from_secs(10);
 
 /// Requests a second that an endpoint accepts from all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
     /// Time between two sends of one dispatcher when `sharers` dispatchers send under this limit.
     fn interval(self, sharers: usize) -> Duration {
-        Duration::from_secs_f64(sharers.max(1) as f64 / self.0.max(LEAST_RATE))
+        Duration::from_secs_f64(sharers.max(1) as f64 / self.0.max(MIN_RATE_PER_S))
     }
 }
 
@@ -60,12 +60,12 @@
     /// The rate for the cold endpoint, and until when it is cold.
     cold: Option<(RateLimit, Time)>,
     /// When the latest answer arrived that stated a limit or the absence of one.
-    heard: Option<Time>,
+    stated_at: Option<Time>,
     /// Scheduled time of the latest send under the limit. The next send is due one interval later,
     /// with the interval of the limit that then applies.
-    last: Time,
+    last_scheduled: Time,
     /// The latest send by this node itself.
-    sent: Option<Time>,
+    last_sent: Option<Time>,
 }
 
 impl Pacer {
@@ -75,10 +75,10 @@
     }
 
     /// The effective limit: the lower one of the stated limit and the rate for cold endpoints.
-    pub(crate) fn bound(&self, now: Time) -> Option<RateLimit> {
+    pub(crate) fn effective_limit(&self, now: Time) -> Option<RateLimit> {
         match (self.limit, self.cold_rate(now)) {
-            (Some(named), Some(cold)) if cold < named => Some(cold),
-            (named, cold) => named.or(cold),
+            (Some(stated), Some(cold)) if cold < stated => Some(cold),
+            (stated, cold) => stated.or(cold),
         }
     }
 
@@ -94,8 +94,8 @@
 
     /// Marks the endpoint as cold until `until`.
     pub(crate) fn mark_cold(&mut self, now: Time, rate: RateLimit, until: Time) {
-        if self.bound(now).is_none() {
-            self.last = now;
+        if self.effective_limit(now).is_none() {
+            self.last_scheduled = now;
         }
         self.cold = Some((rate, until));
     }
@@ -108,53 +108,53 @@
     /// Number of slots kept busy by sends at the rate of the limit, each for `hold`; `None` without
     /// a limit.
     pub(crate) fn slots(&self, now: Time, hold: Duration) -> Option<f64> {
-        self.bound(now).map(|it| it.per_second() * hold.as_secs_f64())
+        self.effective_limit(now).map(|it| it.per_second() * hold.as_secs_f64())
     }
 
-    /// Applies what an answer that arrived at `heard` stated, unless a later answer is known.
+    /// Applies what an answer that arrived at `stated_at` stated, unless a later answer is known.
     /// Returns whether the limit changes.
-    pub(crate) fn observe(&mut self, now: Time, heard: Time, limit: Option<RateLimit>) -> bool {
-        if self.heard.is_some_and(|it| it > heard) {
+    pub(crate) fn observe(&mut self, now: Time, stated_at: Time, limit: Option<RateLimit>) -> bool {
+        if self.stated_at.is_some_and(|it| it > stated_at) {
             return false;
         }
-        self.heard = Some(heard);
-        if self.bound(now).is_none() {
-            self.last = now;
+        self.stated_at = Some(stated_at);
+        if self.effective_limit(now).is_none() {
+            self.last_scheduled = now;
         }
-        let before = std::mem::replace(&mut self.limit, limit);
-        before != limit
+        let previous = std::mem::replace(&mut self.limit, limit);
+        previous != limit
     }
 
     /// Whether a send may go out now.
     pub(crate) fn allows(&self, now: Time, sharers: usize) -> bool {
-        self.bound(now).is_none_or(|it| now >= self.last + it.interval(sharers))
+        self.effective_limit(now).is_none_or(|it| now >= self.last_scheduled + it.interval(sharers))
     }
 
     /// Records a send.
     pub(crate) fn sent(&mut self, now: Time, sharers: usize) {
-        self.sent = Some(now);
-        if let Some(limit) = self.bound(now) {
+        self.last_sent = Some(now);
+        if let Some(limit) = self.effective_limit(now) {
             let interval = limit.interval(sharers);
-            self.last = (self.last + interval).max(now - interval);
+            self.last_scheduled = (self.last_scheduled + interval).max(now - interval);
         }
     }
 
     /// Records a send by this node for which another dispatcher granted the slot.
     pub(crate) fn sent_elsewhere(&mut self, now: Time) {
-        self.sent = Some(now);
+        self.last_sent = Some(now);
     }
 
     /// Records a send by an asker at `sent`, whichever dispatcher granted the slot.
     pub(crate) fn asker_sent(&mut self, sent: Time) {
-        self.last = self.last.max(sent);
+        self.last_scheduled = self.last_scheduled.max(sent);
     }
 
     /// The stated limit in the form passed on to other nodes; `None` if it is too old.
     pub(crate) fn observed_limit(&self, now: Time, endpoint: SocketAddr) -> Option<ObservedLimit> {
-        let (limit, age) = (self.limit?, now.since(self.heard?));
+        let (limit, age) = (self.limit?, now.since(self.stated_at?));
         let ms = |it: Duration| it.as_millis() as u32;
-        let sent_ms = self.sent.map(|it| ms(now.since(it)));
-        let told = ObservedLimit { endpoint, limit, age_ms: ms(age), sent_ms };
-        (age < PASSED_ON_FOR).then_some(told)
+        let sent_ms = self.last_sent.map(|it| ms(now.since(it)));
+        let observed = ObservedLimit { endpoint, limit, age_ms: ms(age), sent_ms };
+        (age < PASS_ON_TIME).then_some(observed)
     }
 }
