--- a/crates/policy/src/tests/allowance.rs
+++ b/crates/policy/src/tests/allowance.rs
@@ -17,9 +17,9 @@
 /// Interval at which a node delegates its share.
 const HEARTBEAT: u64 = 500 * MS;
 /// How long a node that does not answer is skipped.
-const PASS_OVER: u64 = 1_000 * MS;
+const SKIP_TIME: u64 = 1_000 * MS;
 /// Time after which a starting fleet knows its size.
-const FOUND_ALL: u64 = 600 * MS;
+const DISCOVERY_TIME: u64 = 600 * MS;
 
 /// A fault and its effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,7 +29,7 @@
     /// These nodes and the others cannot reach each other.
     Split { from: usize, to: usize, length: u64 },
     /// Each of these nodes is isolated.
-    Alone { from: usize, to: usize, length: u64 },
+    Isolate { from: usize, to: usize, length: u64 },
     /// These nodes are paused and keep their state.
     Freeze { from: usize, to: usize, length: u64 },
     /// The allowances of all organisations are multiplied by this factor.
@@ -67,14 +67,14 @@
     /// Start of the process; `None` while it is down.
     started: Option<u64>,
     /// Number of earlier processes.
-    lives: u32,
+    incarnation: u32,
     /// The first owners named by this process after the fleet was known.
-    first: Option<Vec<NodeId>>,
+    first_owners: Option<Vec<NodeId>>,
     /// The owners named last.
-    named: Vec<NodeId>,
+    named_owners: Vec<NodeId>,
     frozen_until: u64,
     group: usize,
-    passed_over: Vec<u64>,
+    skipped_until: Vec<u64>,
 }
 
 /// When the requests of one organisation arrived, and whether they ran.
@@ -92,12 +92,12 @@
         let node = |i: usize| Node {
             buckets: Buckets::new(NodeId(i as u64)),
             started: Some(0),
-            lives: 0,
-            first: None,
-            named: Vec::new(),
+            incarnation: 0,
+            first_owners: None,
+            named_owners: Vec::new(),
             frozen_until: 0,
             group: 0,
-            passed_over: vec![0; case.nodes],
+            skipped_until: vec![0; case.nodes],
         };
         Self {
             nodes: (0..case.nodes).map(node).collect(),
@@ -115,7 +115,7 @@
 
     /// The owners that a node asks, in order.
     fn owners(&self, now: u64, i: usize) -> Vec<NodeId> {
-        let is_asked = |it: &usize| now >= self.nodes[i].passed_over[*it];
+        let is_asked = |it: &usize| now >= self.nodes[i].skipped_until[*it];
         let capacity = |it: usize| if it < self.strong { 500 } else { 100 };
         let asked = (0..self.nodes.len()).filter(is_asked);
         let asked: Vec<_> = asked.map(|it| (NodeId(it as u64), capacity(it))).collect();
@@ -126,22 +126,22 @@
     }
 
     /// Whether a node knows the fleet.
-    fn knows(&self, now: u64, i: usize) -> bool {
-        self.nodes[i].started.is_some_and(|at| now >= at + FOUND_ALL || at == 0)
+    fn knows_fleet(&self, now: u64, i: usize) -> bool {
+        self.nodes[i].started.is_some_and(|at| now >= at + DISCOVERY_TIME || at == 0)
     }
 
     /// Notifies owners that are no longer named, and the node's own buckets.
-    fn leave_former(&mut self, now: u64, i: usize, lost: f64) {
+    fn notify_former_owners(&mut self, now: u64, i: usize, lost: f64) {
         let owners = self.owners(now, i);
-        if self.nodes[i].named == owners {
+        if self.nodes[i].named_owners == owners {
             return;
         }
-        let former = std::mem::replace(&mut self.nodes[i].named, owners.clone());
+        let former = std::mem::replace(&mut self.nodes[i].named_owners, owners.clone());
         let me = NodeId(i as u64);
         for it in former.into_iter().chain([me]).filter(|it| !owners.contains(it)) {
             let to = it.0 as usize;
             if self.answers(now, i, to) && (to == i || !self.rng.random_bool(lost)) {
-                self.entrust(now, i, to);
+                self.delegate(now, i, to);
             }
         }
     }
@@ -150,33 +150,37 @@
         for owner in self.owners(now, i) {
             let to = owner.0 as usize;
             if self.answers(now, i, to) && !self.rng.random_bool(lost) {
-                self.entrust(now, i, to);
+                self.delegate(now, i, to);
             }
         }
     }
 
-    fn entrust(&mut self, now: u64, from: usize, to: usize) {
+    fn delegate(&mut self, now: u64, from: usize, to: usize) {
         let owners = self.owners(now, from);
-        self.entrust_to(now, from, to, owners);
+        self.delegate_to(now, from, to, owners);
     }
 
-    fn entrust_to(&mut self, now: u64, from: usize, to: usize, owners: Vec<NodeId>) {
-        if !self.knows(now, to) {
+    fn delegate_to(&mut self, now: u64, from: usize, to: usize, owners: Vec<NodeId>) {
+        if !self.knows_fleet(now, to) {
             return;
         }
-        let knows = self.knows(now, from);
+        let knows_fleet = self.knows_fleet(now, from);
         let node = &mut self.nodes[from];
-        if knows {
-            node.first.get_or_insert_with(|| owners.clone());
+        if knows_fleet {
+            node.first_owners.get_or_insert_with(|| owners.clone());
         }
-        let is_lately = node.started.is_some_and(|at| now < at + FOUND_ALL + 3_000 * MS);
-        let named = node.first.as_ref().is_some_and(|it| it.contains(&NodeId(to as u64)));
-        let entrusted =
-            Delegation { owners, incarnation: node.lives, is_first: is_lately && named };
+        let started_recently =
+            node.started.is_some_and(|at| now < at + DISCOVERY_TIME + 3_000 * MS);
+        let is_named = node.first_owners.as_ref().is_some_and(|it| it.contains(&NodeId(to as u64)));
+        let delegation = Delegation {
+            owners,
+            incarnation: node.incarnation,
+            is_first: started_recently && is_named,
+        };
         let size = self.nodes.len();
         let buckets = &mut self.nodes[to].buckets;
         buckets.set_nodes(Time(now), size);
-        buckets.delegate(Time(now), NodeId(from as u64), &entrusted);
+        buckets.delegate(Time(now), NodeId(from as u64), &delegation);
     }
 
     /// Whether a request of an organisation that arrives at node `i` may run.
@@ -188,22 +192,22 @@
         for _ in 0..3 {
             let owner = owner_of(id, &self.owners(now, i)).expect("there is one").0 as usize;
             if !self.answers(now, i, owner) {
-                self.nodes[i].passed_over[owner] = now + PASS_OVER;
+                self.nodes[i].skipped_until[owner] = now + SKIP_TIME;
                 continue;
             }
-            if !self.knows(now, owner) {
+            if !self.knows_fleet(now, owner) {
                 return false;
             }
-            self.entrust(now, i, owner);
+            self.delegate(now, i, owner);
             let buckets = &mut self.nodes[owner].buckets;
             let decision = buckets.ask(Time(now), id, Allowance { rate_per_s, burst });
             return decision == Decision::Granted;
         }
         // No owner answers: this node is the only owner and has its own share.
-        if !self.knows(now, i) {
+        if !self.knows_fleet(now, i) {
             return false;
         }
-        self.entrust_to(now, i, i, vec![NodeId(i as u64)]);
+        self.delegate_to(now, i, i, vec![NodeId(i as u64)]);
         let buckets = &mut self.nodes[i].buckets;
         buckets.ask(Time(now), id, Allowance { rate_per_s, burst }) == Decision::Granted
     }
@@ -216,7 +220,7 @@
             Fault::Split { from, to, .. } => {
                 self.nodes[from..to].iter_mut().for_each(|it| it.group = 1);
             }
-            Fault::Alone { from, to, .. } => {
+            Fault::Isolate { from, to, .. } => {
                 (from..to).for_each(|i| self.nodes[i].group = 2 + i);
             }
             Fault::Freeze { from, to, length } => {
@@ -234,13 +238,13 @@
                     let it = &mut self.nodes[i];
                     it.buckets = Buckets::new(NodeId(i as u64));
                     it.started = Some(now);
-                    it.lives += 1;
-                    it.first = None;
-                    it.named.clear();
-                    it.passed_over.fill(0);
+                    it.incarnation += 1;
+                    it.first_owners = None;
+                    it.named_owners.clear();
+                    it.skipped_until.fill(0);
                 }
             }
-            Fault::Split { from, to, .. } | Fault::Alone { from, to, .. } => {
+            Fault::Split { from, to, .. } | Fault::Isolate { from, to, .. } => {
                 self.nodes[from..to].iter_mut().for_each(|it| it.group = 0);
             }
             Fault::Freeze { .. } | Fault::Limit(_) => {}
@@ -252,14 +256,14 @@
     fn length(self) -> Option<u64> {
         match self {
             Self::Kill { down, .. } => Some(down),
-            Self::Split { length, .. } | Self::Alone { length, .. } => Some(length),
+            Self::Split { length, .. } | Self::Isolate { length, .. } => Some(length),
             Self::Freeze { .. } | Self::Limit(_) => None,
         }
     }
 }
 
 /// Runs a scenario; returns the requests of each organisation.
-fn play(case: &Case, seed: u64) -> Vec<Requests> {
+fn simulate(case: &Case, seed: u64) -> Vec<Requests> {
     let mut fleet = Fleet::new(case, seed);
     let mut changes: Vec<(u64, bool, Fault)> = Vec::new();
     for (at, fault) in &case.faults {
@@ -280,10 +284,10 @@
         for i in 0..case.nodes {
             let is_up = fleet.nodes[i].started.is_some() && now >= fleet.nodes[i].frozen_until;
             if is_up && now % (10 * step) == 0 {
-                fleet.leave_former(now, i, case.lost);
+                fleet.notify_former_owners(now, i, case.lost);
             }
-            let turn = i as u64 * HEARTBEAT / case.nodes as u64 / step * step;
-            if is_up && now % HEARTBEAT == turn {
+            let offset = i as u64 * HEARTBEAT / case.nodes as u64 / step * step;
+            if is_up && now % HEARTBEAT == offset {
                 fleet.heartbeat(now, i, case.lost);
             }
         }
@@ -322,7 +326,7 @@
 /// Organisations of several sizes. Some send `hot` times their rate, the others nine tenths of it.
 fn organisations(hot: f64) -> Vec<Organisation> {
     let one =
-        |rate: f64, part: f64| Organisation { rate, burst: rate, sends: rate * part, at: None };
+        |rate: f64, share: f64| Organisation { rate, burst: rate, sends: rate * share, at: None };
     vec![
         one(180.0, hot),
         one(180.0, 0.9),
@@ -333,7 +337,7 @@
     ]
 }
 
-const CALM: Case = Case {
+const STEADY: Case = Case {
     nodes: 30,
     strong: 6,
     organisations: Vec::new(),
@@ -345,9 +349,9 @@
 
 #[track_caller]
 fn check(faults: Vec<(u64, Fault)>, lost: f64) {
-    let case = Case { organisations: organisations(7.5), faults, lost, ..CALM };
+    let case = Case { organisations: organisations(7.5), faults, lost, ..STEADY };
     for seed in 1..=3 {
-        let requests = play(&case, seed);
+        let requests = simulate(&case, seed);
         for (it, requests) in case.organisations.iter().zip(&requests) {
             let most = most_in_a_window(requests, 0);
             assert!(most as f64 <= bound(it), "{:?}: {it:?}: {most} in a window", case.faults);
@@ -356,10 +360,10 @@
 }
 
 #[test]
-fn in_calm_an_organisation_within_its_rate_loses_nothing_beside_one_far_beyond() {
-    let case = Case { organisations: organisations(7.5), ..CALM };
+fn an_organisation_within_its_rate_loses_nothing_beside_one_far_beyond() {
+    let case = Case { organisations: organisations(7.5), ..STEADY };
     for seed in 1..=3 {
-        let requests = play(&case, seed);
+        let requests = simulate(&case, seed);
         for (it, requests) in case.organisations.iter().zip(&requests) {
             let share = served(requests, 0, case.length);
             if it.sends < it.rate {
@@ -373,13 +377,13 @@
 }
 
 #[test]
-fn the_bound_holds_in_calm_and_while_heartbeats_are_lost() {
+fn the_bound_holds_in_steady_state_and_while_heartbeats_are_lost() {
     check(Vec::new(), 0.0);
     check(Vec::new(), 1.0 / 3.0);
 }
 
 #[test]
-fn the_bound_holds_when_owners_end_in_the_middle_of_need() {
+fn the_bound_holds_when_owners_are_killed_under_load() {
     let kill = |from, to, at: u64| (at * MS, Fault::Kill { from, to, down: 1_500 * MS });
     check(vec![kill(0, 3, 8_000), kill(3, 6, 10_000)], 0.0);
     check(vec![kill(0, 30, 8_000)], 0.0);
@@ -388,16 +392,16 @@
 }
 
 #[test]
-fn the_bound_holds_while_the_fleet_is_in_parts() {
+fn the_bound_holds_while_the_fleet_is_partitioned() {
     let split = |from, to| vec![(8_000 * MS, Fault::Split { from, to, length: 12_000 * MS })];
     check(split(0, 3), 0.0);
     check(split(0, 10), 0.0);
     check(split(3, 18), 1.0 / 3.0);
-    check(vec![(8_000 * MS, Fault::Alone { from: 0, to: 10, length: 12_000 * MS })], 0.0);
+    check(vec![(8_000 * MS, Fault::Isolate { from: 0, to: 10, length: 12_000 * MS })], 0.0);
 }
 
 #[test]
-fn the_bound_holds_when_owners_stand_still() {
+fn the_bound_holds_while_owners_are_frozen() {
     let freeze = |from, to| vec![(8_000 * MS, Fault::Freeze { from, to, length: 4_000 * MS })];
     check(freeze(0, 3), 0.0);
     check(freeze(0, 30), 0.0);
@@ -405,11 +409,11 @@
 
 /// A reduced limit holds after one window.
 #[test]
-fn a_limit_that_falls_far_below_what_is_asked_holds_after_a_window() {
+fn a_limit_reduced_far_below_the_load_holds_after_a_window() {
     let organisations = organisations(2.0);
     let faults = vec![(10_000 * MS, Fault::Limit(0.2))];
-    let case = Case { organisations, faults, ..CALM };
-    for (it, requests) in case.organisations.iter().zip(play(&case, 1)) {
+    let case = Case { organisations, faults, ..STEADY };
+    for (it, requests) in case.organisations.iter().zip(simulate(&case, 1)) {
         let after = Organisation { rate: it.rate * 0.2, burst: it.burst * 0.2, ..*it };
         let most = most_in_a_window(&requests, 15_000 * MS);
         assert!(most as f64 <= bound(&after), "{it:?}: {most} in a window");
@@ -418,11 +422,11 @@
 }
 
 #[test]
-fn callers_that_all_come_to_one_node_get_as_much() {
+fn callers_that_all_use_one_node_get_as_much() {
     let organisations = organisations(7.5).into_iter();
     let organisations = organisations.map(|it| Organisation { at: Some(17), ..it }).collect();
-    let case = Case { organisations, ..CALM };
-    for (it, requests) in case.organisations.iter().zip(play(&case, 1)) {
+    let case = Case { organisations, ..STEADY };
+    for (it, requests) in case.organisations.iter().zip(simulate(&case, 1)) {
         assert!(most_in_a_window(&requests, 0) as f64 <= bound(it), "{it:?}");
         let got = served(&requests, 2_000 * MS, case.length) * it.sends;
         assert!(got > 0.9 * it.rate.min(it.sends), "{it:?}: {got} a second");
@@ -432,29 +436,29 @@
 /// After all nodes were killed, organisations within their rate are served again within two
 /// seconds.
 #[test]
-fn a_return_of_all_costs_little() {
+fn a_restart_of_all_nodes_costs_little() {
     let faults = vec![(10_000 * MS, Fault::Kill { from: 0, to: 30, down: 1_000 * MS })];
-    let case = Case { organisations: organisations(0.9), faults, ..CALM };
-    let played: Vec<_> = (1..=10).map(|seed| play(&case, seed)).collect();
+    let case = Case { organisations: organisations(0.9), faults, ..STEADY };
+    let results: Vec<_> = (1..=10).map(|seed| simulate(&case, seed)).collect();
     for (i, it) in case.organisations.iter().enumerate() {
-        let soon = played.iter().map(|it| served(&it[i], 12_500 * MS, 14_000 * MS));
-        let soon = soon.sum::<f64>() / played.len() as f64;
+        let soon = results.iter().map(|it| served(&it[i], 12_500 * MS, 14_000 * MS));
+        let soon = soon.sum::<f64>() / results.len() as f64;
         assert!(soon > 0.9, "{it:?}: {soon} served");
     }
 }
 
 /// A node that starts together with all others serves requests within its first second.
 #[test]
-fn a_fleet_that_starts_serves_at_once() {
-    let case = Case { organisations: organisations(0.9), traffic_from: 0, ..CALM };
-    for (it, requests) in case.organisations.iter().zip(play(&case, 1)) {
+fn a_starting_fleet_serves_at_once() {
+    let case = Case { organisations: organisations(0.9), traffic_from: 0, ..STEADY };
+    for (it, requests) in case.organisations.iter().zip(simulate(&case, 1)) {
         let first = served(&requests, 0, 1_000 * MS);
         assert!(first > 0.5, "{it:?}: {first} served");
     }
 }
 
 #[test]
-fn places_of_those_that_are_refused_follow_each_other() {
+fn retry_times_of_refused_requests_follow_each_other() {
     let mut buckets = Buckets::new(NodeId(1));
     buckets.set_nodes(Time(0), 1);
     let allowance = Allowance { rate_per_s: 10.0, burst: 0.0 };
@@ -484,7 +488,7 @@
         0 => Fault::Kill { from, to, down: ms * MS },
         1 => Fault::Split { from, to, length: ms * 2 * MS },
         2 => Fault::Freeze { from, to, length: ms * MS },
-        _ => Fault::Alone { from, to: to.min(from + 10), length: ms * 2 * MS },
+        _ => Fault::Isolate { from, to: to.min(from + 10), length: ms * 2 * MS },
     });
     (6_000_u64..20_000, fault).prop_map(|(at, fault)| (at * MS, fault))
 }
@@ -505,8 +509,8 @@
         seed in 0..1_000_u64,
         lost in 0.0..0.34,
     ) {
-        let case = Case { organisations: organisations(7.5), faults, lost, length: 26_000 * MS, ..CALM };
-        let requests = play(&case, seed);
+        let case = Case { organisations: organisations(7.5), faults, lost, length: 26_000 * MS, ..STEADY };
+        let requests = simulate(&case, seed);
         for (it, requests) in case.organisations.iter().zip(&requests) {
             let most = most_in_a_window(requests, 0);
             prop_assert!(most as f64 <= bound(it), "{it:?}: {most} in a window of {}", bound(it));
@@ -515,11 +519,11 @@
 }
 
 /// Share of requests served without faults, by organisation.
-fn served_in_calm(case: &Case) -> Vec<f64> {
-    let played: Vec<_> = (1..=3).map(|seed| play(case, seed)).collect();
+fn served_in_steady_state(case: &Case) -> Vec<f64> {
+    let results: Vec<_> = (1..=3).map(|seed| simulate(case, seed)).collect();
     let share = |i: usize| {
-        let all = played.iter().map(|it| served(&it[i], 0, case.length));
-        all.sum::<f64>() / played.len() as f64
+        let all = results.iter().map(|it| served(&it[i], 0, case.length));
+        all.sum::<f64>() / results.len() as f64
     };
     (0..case.organisations.len()).map(share).collect()
 }
@@ -528,26 +532,26 @@
 /// fixed parts for each of three services do not fit an organisation that uses one of them more
 /// than the others.
 #[test]
-fn accounts_at_owners_serve_more_than_parts_for_each_node_or_each_service() {
-    let pooled = Case { organisations: organisations(0.9), ..CALM };
-    let alone = Fault::Alone { from: 0, to: CALM.nodes, length: CALM.length };
-    let by_node = Case { faults: vec![(0, alone)], ..pooled.clone() };
+fn pooled_allowances_serve_more_than_shares_for_each_node_or_each_service() {
+    let pooled = Case { organisations: organisations(0.9), ..STEADY };
+    let isolated = Fault::Isolate { from: 0, to: STEADY.nodes, length: STEADY.length };
+    let by_node = Case { faults: vec![(0, isolated)], ..pooled.clone() };
     let use_of_services = [0.52, 0.41, 0.07];
-    let parts = pooled.organisations.iter().flat_map(|it| {
-        use_of_services.map(|part| Organisation {
+    let shares = pooled.organisations.iter().flat_map(|it| {
+        use_of_services.map(|share| Organisation {
             rate: it.rate / 3.0,
             burst: it.burst / 3.0,
-            sends: it.sends * part,
+            sends: it.sends * share,
             ..*it
         })
     });
-    let by_service = Case { organisations: parts.collect(), ..CALM };
-    let pooled = served_in_calm(&pooled);
-    let by_node = served_in_calm(&by_node);
-    let by_part = served_in_calm(&by_service);
-    let by_service: Vec<f64> = by_part
+    let by_service = Case { organisations: shares.collect(), ..STEADY };
+    let pooled = served_in_steady_state(&pooled);
+    let by_node = served_in_steady_state(&by_node);
+    let by_share = served_in_steady_state(&by_service);
+    let by_service: Vec<f64> = by_share
         .chunks(3)
-        .map(|it| it.iter().zip(use_of_services).map(|(share, part)| share * part).sum())
+        .map(|it| it.iter().zip(use_of_services).map(|(granted, share)| granted * share).sum())
         .collect();
     let shown = format!("{pooled:.3?} pooled, {by_node:.3?} by node, {by_service:.3?} by service");
     for i in 0..pooled.len() {
--- a/crates/policy/src/tests/budget.rs
+++ b/crates/policy/src/tests/budget.rs
@@ -70,12 +70,12 @@
     /// Each node asks the dispatcher of its side of a partition. The partition changes twice within
     /// a window, and all repeats that are granted are spent.
     #[test]
-    fn a_fleet_in_parts_stays_within_the_bound(
-        parts in prop::collection::vec(prop::collection::vec(0..6_usize, NODES as usize), 3),
+    fn a_partitioned_fleet_stays_within_the_bound(
+        sides in prop::collection::vec(prop::collection::vec(0..6_usize, NODES as usize), 3),
         gaps in prop::collection::vec(0..5_000_u64, 3),
     ) {
         let (mut sends, mut now) = (Sends::default(), Time(0));
-        for (part_of, gap_ms) in parts.iter().zip(gaps) {
+        for (side_of, gap_ms) in sides.iter().zip(gaps) {
             now = now + Duration::from_millis(gap_ms);
             // The new dispatchers have no earlier knowledge of the service.
             let mut budgets: Vec<Budget> = (0..6)
@@ -85,9 +85,9 @@
                     it
                 })
                 .collect();
-            for (node, part) in part_of.iter().enumerate() {
-                budgets[*part].hold_share(now, NodeId(node as u64));
-                budgets[*part].first_send(now);
+            for (node, side) in side_of.iter().enumerate() {
+                budgets[*side].hold_share(now, NodeId(node as u64));
+                budgets[*side].first_send(now);
                 sends.first.push(now);
             }
             budgets.iter_mut().for_each(|it| spend_all(it, now, &mut sends));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_node_on_its_own_has_its_own_part_only() {
+fn a_node_on_its_own_has_only_its_own_share() {
     let mut it = budget(NODES);
     let mut sends = Sends::default();
     it.hold_share(Time(0), NodeId(1));
@@ -129,14 +129,14 @@
 }
 
 #[test]
-fn hedges_leave_a_part_for_what_has_failed() {
+fn hedges_leave_a_fraction_for_repeats_after_failures() {
     let mut it = budget(1);
     let now = Time(0) + WINDOW;
     it.hold_share(Time(0), NodeId(1));
     it.hold_share(now, NodeId(1));
     it.first_send(now);
     let mut taken =
-        |what| std::iter::repeat_with(|| take(&mut it, now, what)).take_while(|it| *it).count();
+        |spend| std::iter::repeat_with(|| take(&mut it, now, spend)).take_while(|it| *it).count();
     let hedges = taken(Spend::OnHedge);
     let others = taken(Spend::OnFailure);
     // After an idle period three tenths of the fixed part are available.
@@ -144,8 +144,8 @@
     assert!(it.is_short(now));
 }
 
-fn take(it: &mut Budget, now: Time, what: Spend) -> bool {
-    let is_allowed = it.allows(now, what);
+fn take(it: &mut Budget, now: Time, spend: Spend) -> bool {
+    let is_allowed = it.allows(now, spend);
     if is_allowed {
         it.spend(now);
     }
@@ -199,19 +199,19 @@
 #[derive(Clone, Copy, Debug)]
 enum Change {
     /// Another node takes over.
-    Takes(usize),
+    TakesOver(usize),
     /// All nodes restart without any state.
     Restart,
 }
 
 fn changes() -> impl Strategy<Value = Vec<(u64, Change)>> {
-    let change = prop_oneof![(0..6_usize).prop_map(Change::Takes), Just(Change::Restart)];
+    let change = prop_oneof![(0..6_usize).prop_map(Change::TakesOver), Just(Change::Restart)];
     prop::collection::vec((12_000..30_000_u64, change), 1..8)
 }
 
-/// Applies changes of the granting node to steady traffic. From `need_from_ms` on every granted
+/// Applies changes of the granting node to steady traffic. From `spend_from_ms` on every granted
 /// repeat is spent. Each first send is counted at one node.
-fn play_changes(mut changes: Vec<(u64, Change)>, need_from_ms: u64, every_ms: u64) -> Sends {
+fn simulate(mut changes: Vec<(u64, Change)>, spend_from_ms: u64, every_ms: u64) -> Sends {
     changes.sort_by_key(|it| it.0);
     let all = |now| -> Vec<Budget> {
         (0..6)
@@ -229,7 +229,7 @@
         while let Some((_, change)) = changes.first().filter(|it| it.0 <= ms).copied() {
             changes.remove(0);
             match change {
-                Change::Takes(it) => granting = it,
+                Change::TakesOver(it) => granting = it,
                 Change::Restart => {
                     budgets = all(now);
                     asked_at = vec![None; NODES as usize];
@@ -245,7 +245,7 @@
         }
         budgets[granting].first_send(now);
         sends.first.push(now);
-        if ms >= need_from_ms {
+        if ms >= spend_from_ms {
             budgets.iter_mut().for_each(|it| spend_all(it, now, &mut sends));
         }
     }
@@ -255,9 +255,9 @@
 /// A case found by the property test below. Each restart of all nodes added a tenth of the fixed
 /// part, and five of them in six seconds exceeded the limit.
 #[test]
-fn five_starts_of_all_in_six_seconds_stay_within_the_bound() {
+fn five_restarts_of_all_nodes_in_six_seconds_stay_within_the_bound() {
     let changes = [17_780, 19_965, 20_839, 18_332, 23_346].map(|ms| (ms, Change::Restart));
-    let sends = play_changes(changes.to_vec(), 16_538, 5);
+    let sends = simulate(changes.to_vec(), 16_538, 5);
     assert!(sends.excess() <= 0.0, "{} too many", sends.excess());
 }
 
@@ -266,12 +266,12 @@
     /// node had spent the credit of the first sends before a change, and the next one that of those
     /// after it.
     #[test]
-    fn no_window_holds_more_however_often_those_who_grant_change_or_begin_anew(
+    fn no_window_exceeds_the_bound_however_often_granting_nodes_change_or_restart(
         changes in changes(),
-        need_from_ms in 10_000..25_000_u64,
+        spend_from_ms in 10_000..25_000_u64,
         every_ms in 5..40_u64,
     ) {
-        let sends = play_changes(changes, need_from_ms, every_ms);
+        let sends = simulate(changes, spend_from_ms, every_ms);
         prop_assert!(!sends.repeats.is_empty());
         prop_assert!(sends.excess() <= 0.0, "{} too many", sends.excess());
     }
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -34,14 +34,14 @@
     sends: u32,
     unknown_before: bool,
     tokens: u32,
-    late: bool,
+    is_late: bool,
     /// Cancelled sends that may still run, as when a frozen upstream resumes.
-    adrift: u32,
-    told: Option<Told>,
+    cancelled: u32,
+    reported: Option<Reported>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum Reported {
     Answer,
     NotRun,
     Unknown,
@@ -49,38 +49,38 @@
 
 type Rule = fn(Outcome, Attempt) -> Next;
 
-fn starts() -> Vec<State> {
-    let mut starts = Vec::new();
+fn initial_states() -> Vec<State> {
+    let mut initial_states = Vec::new();
     for repeat in [Repeat::Anytime, Repeat::IfNotRun, Repeat::Never] {
         for tokens in 0..3 {
-            starts.push(State {
+            initial_states.push(State {
                 repeat,
                 runs: 0,
                 sends: 0,
                 unknown_before: false,
                 tokens,
-                late: false,
-                adrift: 0,
-                told: None,
+                is_late: false,
+                cancelled: 0,
+                reported: None,
             });
         }
     }
-    starts
+    initial_states
 }
 
 fn successors(state: &State, rule: Rule) -> Vec<State> {
     let mut next = Vec::new();
-    if state.adrift > 0 {
+    if state.cancelled > 0 {
         // A cancelled send runs after all, or never.
-        next.push(State { runs: state.runs + 1, adrift: state.adrift - 1, ..state.clone() });
-        next.push(State { adrift: state.adrift - 1, ..state.clone() });
+        next.push(State { runs: state.runs + 1, cancelled: state.cancelled - 1, ..state.clone() });
+        next.push(State { cancelled: state.cancelled - 1, ..state.clone() });
     }
-    if state.told.is_some() {
+    if state.reported.is_some() {
         return next;
     }
-    if !state.late {
+    if !state.is_late {
         // A pause of this process lets the deadline pass between two sends.
-        next.push(State { late: true, ..state.clone() });
+        next.push(State { is_late: true, ..state.clone() });
     }
     next.extend(REALITIES.iter().map(|it| send(state, *it, rule)));
     next
@@ -97,7 +97,7 @@
         unknown_before: state.unknown_before,
         sends: state.sends + 1,
         max_sends: 3,
-        left: if state.late { Duration::ZERO } else { Duration::from_secs(1) },
+        left: if state.is_late { Duration::ZERO } else { Duration::from_secs(1) },
     };
     // The budget decides on the next slot; without one the request ends here.
     let mut tokens = state.tokens;
@@ -118,32 +118,32 @@
         sends: state.sends + 1,
         unknown_before: state.unknown_before || outcome == Outcome::Unknown,
         tokens,
-        adrift: state.adrift + u32::from(reality == Reality::LostBefore),
-        told: match next {
+        cancelled: state.cancelled + u32::from(reality == Reality::LostBefore),
+        reported: match next {
             Next::Again => None,
-            Next::Deliver => Some(Told::Answer),
-            Next::GiveUpNotRun => Some(Told::NotRun),
-            Next::GiveUpUnknown => Some(Told::Unknown),
+            Next::Deliver => Some(Reported::Answer),
+            Next::GiveUpNotRun => Some(Reported::NotRun),
+            Next::GiveUpUnknown => Some(Reported::Unknown),
         },
         ..state.clone()
     }
 }
 
 fn is_broken(state: &State) -> bool {
-    let doubled = state.repeat != Repeat::Anytime && state.runs > 1;
-    let lied = state.told == Some(Told::NotRun) && state.runs > 0;
-    doubled || lied
+    let ran_twice = state.repeat != Repeat::Anytime && state.runs > 1;
+    let reported_wrongly = state.reported == Some(Reported::NotRun) && state.runs > 0;
+    ran_twice || reported_wrongly
 }
 
 /// The shortest schedule that breaks the rule, if there is one.
 fn counterexample(rule: Rule) -> Option<Vec<State>> {
-    starts().into_iter().find_map(|start| bfs(&start, |it| successors(it, rule), is_broken))
+    initial_states().into_iter().find_map(|start| bfs(&start, |it| successors(it, rule), is_broken))
 }
 
 #[test]
 fn at_most_once_and_not_run_is_true() {
     assert_eq!(counterexample(next_step), None);
-    let states: usize = starts()
+    let states: usize = initial_states()
         .iter()
         .map(|it| bfs_reach(it.clone(), |it| successors(it, next_step)).count())
         .sum();
