--- a/crates/policy/src/tests/fixture.rs
+++ b/crates/policy/src/tests/fixture.rs
@@ -66,7 +66,7 @@
 /// How an endpoint answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Health {
-    Well,
+    Healthy,
     Stalls(f64),
     Fails(f64),
     Slow(f64),
@@ -74,7 +74,7 @@
 
 /// An outlier detector for one service, whose endpoints have exponential latencies of 10 ms.
 pub(super) struct Bench {
-    pub(super) judge: OutlierDetector,
+    pub(super) detector: OutlierDetector,
     pub(super) now: Time,
     pub(super) health: Vec<Health>,
     pub(super) heavy_tail: bool,
@@ -84,9 +84,9 @@
 impl Bench {
     pub(super) fn new(service: &Service) -> Self {
         Self {
-            judge: OutlierDetector::new(Time(0), service, &[TERMS]),
+            detector: OutlierDetector::new(Time(0), service, &[TERMS]),
             now: Time(0),
-            health: vec![Health::Well; service.endpoints.len()],
+            health: vec![Health::Healthy; service.endpoints.len()],
             heavy_tail: false,
             rng: StdRng::seed_from_u64(1),
         }
@@ -98,8 +98,8 @@
         let endpoint = self.rng.random_range(0..n);
         let node = self.rng.random_range(0..40);
         self.now = self.now + every;
-        self.judge.tick(self.now);
-        let status = &self.judge.rotation.endpoints()[endpoint];
+        self.detector.tick(self.now);
+        let status = &self.detector.rotation.endpoints()[endpoint];
         if status.admits(self.now, true) {
             let health = self.health[endpoint];
             self.report(endpoint, reporter(node), health);
@@ -110,7 +110,7 @@
     pub(super) fn report(&mut self, endpoint: usize, reporter: Reporter, health: Health) {
         let (kind, elapsed) = self.outcome(health);
         let it = Observation { reporter, endpoint, route: ROUTE, kind, elapsed };
-        self.judge.observe(self.now, it);
+        self.detector.observe(self.now, it);
     }
 
     pub(super) fn run(&mut self, requests: usize, every: Duration) {
@@ -118,11 +118,11 @@
     }
 
     pub(super) fn states(&self) -> Vec<&'static str> {
-        self.judge.rotation.endpoints().iter().map(|it| it.state.name()).collect()
+        self.detector.rotation.endpoints().iter().map(|it| it.state.name()).collect()
     }
 
     pub(super) fn ejections(&mut self) -> usize {
-        let changes = self.judge.rotation.take_changes();
+        let changes = self.detector.rotation.take_changes();
         changes.iter().filter(|it| matches!(it.to, State::Ejected { .. })).count()
     }
 
@@ -130,7 +130,7 @@
         let exponential = -(1.0 - self.rng.random::<f64>()).ln();
         let tail = if self.heavy_tail && self.rng.random_bool(0.01) { 20.0 } else { 1.0 };
         let usual = Duration::from_millis(10).mul_f64(exponential * tail);
-        let stall_after = self.judge.baseline.stall_after(ROUTE);
+        let stall_after = self.detector.baseline.stall_after(ROUTE);
         match health {
             Health::Stalls(share) if self.rng.random_bool(share) => (Kind::Stalled, stall_after),
             Health::Fails(share) if self.rng.random_bool(share) => (Kind::Failed, usual),
@@ -141,7 +141,7 @@
 
     /// A reporter reports a request as stalled before the request ends.
     fn as_seen(&self, elapsed: Duration) -> (Kind, Duration) {
-        let stall_after = self.judge.baseline.stall_after(ROUTE);
+        let stall_after = self.detector.baseline.stall_after(ROUTE);
         match elapsed > stall_after {
             true => (Kind::Stalled, stall_after),
             false => (Kind::Answered, elapsed),
--- a/crates/policy/src/tests/incarnations.rs
+++ b/crates/policy/src/tests/incarnations.rs
@@ -12,7 +12,7 @@
 const SOON: Duration = Duration::from_millis(5);
 
 /// The service after its first endpoint has restarted.
-fn after_a_start(service: &Service) -> Service {
+fn after_a_restart(service: &Service) -> Service {
     let mut it = service.clone();
     it.endpoints[0].started_ms += 1_000;
     it
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn what_was_believed_of_the_life_before_is_forgotten() {
+fn beliefs_about_the_previous_incarnation_are_dropped() {
     let service = service(&[2], 1, Bias::Balanced);
     let (mut it, _) = dispatcher(&service);
     fail(&mut it, Time(0), &service, SOON);
     assert_eq!(it.set_back(Time(0) + SOON).count(), 1);
-    it.reconfigure(Time(0) + SOON, &after_a_start(&service), &[TERMS]);
+    it.reconfigure(Time(0) + SOON, &after_a_restart(&service), &[TERMS]);
     assert_eq!(it.set_back(Time(0) + SOON).count(), 0);
     let report = it.evidence_of(Time(0) + SOON, 0);
     assert_eq!((report.score, report.since_failure), (0.0, None));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_same_life_under_a_new_entry_keeps_what_is_known() {
+fn the_same_incarnation_under_a_new_entry_keeps_its_evidence() {
     let service = service(&[2], 1, Bias::Balanced);
     let (mut it, _) = dispatcher(&service);
     fail(&mut it, Time(0), &service, SOON);
@@ -51,24 +51,24 @@
 }
 
 #[test]
-fn an_endpoint_that_was_leaving_takes_work_in_its_next_life() {
+fn an_endpoint_that_was_leaving_takes_work_in_its_next_incarnation() {
     let mut service = service(&[1], 1, Bias::Balanced);
     service.endpoints[0].standing = Standing::Leaving;
     let (mut it, mut rng) = dispatcher(&service);
     assert!(!matches!(it.ask(Time(0), ask(0, true), &mut rng), Reply::Granted(_)));
-    let mut again = after_a_start(&service);
-    again.endpoints[0].standing = Standing::Present;
-    it.reconfigure(Time(0) + SECOND, &again, &[TERMS]);
+    let mut restarted = after_a_restart(&service);
+    restarted.endpoints[0].standing = Standing::Present;
+    it.reconfigure(Time(0) + SECOND, &restarted, &[TERMS]);
     assert!(matches!(it.ask(Time(0) + SECOND, ask(1, true), &mut rng), Reply::Granted(_)));
 }
 
 #[test]
-fn what_the_life_before_still_does_says_nothing_of_the_next_one() {
+fn outcomes_of_the_previous_incarnation_are_no_evidence_about_the_next_one() {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
     assert!(matches!(it.ask(Time(0), ask(0, true), &mut rng), Reply::Granted(_)));
     let now = Time(0) + SECOND;
-    it.reconfigure(now, &after_a_start(&service), &[TERMS]);
+    it.reconfigure(now, &after_a_restart(&service), &[TERMS]);
     assert_eq!(it.evidence_of(now, 0).in_use, 0, "its slots are free again");
     // The request that was open fails, whether this or another dispatcher granted its slot.
     it.release(now + SOON, ask(0, true).id, Kind::Failed, SECOND, &mut rng);
--- a/crates/policy/src/tests/likelihoods.rs
+++ b/crates/policy/src/tests/likelihoods.rs
@@ -12,42 +12,44 @@
 const OUTCOMES: usize = 300;
 
 /// The likelihoods of a service whose unhealthy endpoints end requests with `kind`.
-fn learned(kind: Kind) -> Likelihoods {
-    let mut signs = Likelihoods::default();
+fn likelihoods_after(kind: Kind) -> Likelihoods {
+    let mut likelihoods = Likelihoods::default();
     for _ in 0..OUTCOMES {
-        signs.learn(kind, 0.9);
-        signs.learn(Kind::Answered, 0.02);
+        likelihoods.learn(kind, 0.9);
+        likelihoods.learn(Kind::Answered, 0.02);
     }
-    signs
+    likelihoods
 }
 
 /// Likelihood ratio of an outcome on a route without samples.
-fn ratio(signs: &Likelihoods, kind: Kind) -> f64 {
+fn ratio(likelihoods: &Likelihoods, kind: Kind) -> f64 {
     let mut baseline = Baseline::default();
     baseline.retain_routes(&[TERMS]);
     match kind {
-        Kind::TimedOut => signs.silence_ratio(baseline.still_open(ROUTE, TERMS.objective * 2)),
-        it => signs.ratio(&baseline, it, ROUTE),
+        Kind::TimedOut => {
+            likelihoods.silence_ratio(baseline.still_open(ROUTE, TERMS.objective * 2))
+        }
+        it => likelihoods.ratio(&baseline, it, ROUTE),
     }
 }
 
 #[test]
 fn a_service_learns_how_its_endpoints_fail() {
-    let nothing_known = Likelihoods::default();
+    let prior = Likelihoods::default();
     for (kind, other) in [(Kind::Failed, Kind::TimedOut), (Kind::TimedOut, Kind::Failed)] {
-        let signs = learned(kind);
-        assert!(ratio(&signs, kind) > 2.0 * ratio(&nothing_known, kind), "{kind:?}");
-        assert!(ratio(&signs, other) < 0.2 * ratio(&nothing_known, other), "{kind:?}");
-        assert!(ratio(&signs, Kind::Answered) < 0.1, "{kind:?}");
+        let likelihoods = likelihoods_after(kind);
+        assert!(ratio(&likelihoods, kind) > 2.0 * ratio(&prior, kind), "{kind:?}");
+        assert!(ratio(&likelihoods, other) < 0.2 * ratio(&prior, other), "{kind:?}");
+        assert!(ratio(&likelihoods, Kind::Answered) < 0.1, "{kind:?}");
     }
 }
 
 #[test]
-fn the_share_of_sick_endpoints_follows_the_service_within_bounds() {
-    let share_after = |sick: &[f64]| {
-        let mut signs = Likelihoods::default();
-        (0..2_000).for_each(|_| signs.refresh(sick.iter().copied()));
-        signs.p_unhealthy()
+fn the_share_of_unhealthy_endpoints_follows_the_service_within_bounds() {
+    let share_after = |p_unhealthy: &[f64]| {
+        let mut likelihoods = Likelihoods::default();
+        (0..2_000).for_each(|_| likelihoods.refresh(p_unhealthy.iter().copied()));
+        likelihoods.p_unhealthy()
     };
     assert!(share_after(&[0.0; 30]) < 0.06);
     let half = [[0.95; 10], [0.01; 10]].concat();
@@ -57,7 +59,7 @@
 /// Requests of one route exceed its time limit at every endpoint. This must not make all endpoints
 /// look unhealthy.
 #[test]
-fn what_is_usual_on_a_route_says_nothing_of_an_endpoint() {
+fn what_is_usual_on_a_route_is_no_evidence_against_an_endpoint() {
     let other = RouteTerms { id: ROUTE + 1, ..TERMS };
     let mut baseline = Baseline::default();
     baseline.retain_routes(&[TERMS, other]);
@@ -67,12 +69,12 @@
         baseline.add_failed(ROUTE, 0.8);
         baseline.refresh(0.99);
     }
-    let signs = Likelihoods::default();
-    assert!(signs.silence_ratio(baseline.still_open(ROUTE, limit)) < 2.0);
-    assert!(signs.ratio(&baseline, Kind::Failed, ROUTE) < 3.0);
+    let likelihoods = Likelihoods::default();
+    assert!(likelihoods.silence_ratio(baseline.still_open(ROUTE, limit)) < 2.0);
+    assert!(likelihoods.ratio(&baseline, Kind::Failed, ROUTE) < 3.0);
     assert_eq!(baseline.class_of(Kind::TimedOut, ROUTE, limit), None);
     // The evidence of the other route's requests is unchanged.
-    assert!(signs.silence_ratio(baseline.still_open(other.id, limit)) > 20.0);
+    assert!(likelihoods.silence_ratio(baseline.still_open(other.id, limit)) > 20.0);
     assert!(
         baseline.class_of(Kind::TimedOut, other.id, limit + Duration::from_millis(1)).is_some()
     );
@@ -83,7 +85,7 @@
     let mut baseline = Baseline::default();
     baseline.retain_routes(&[TERMS]);
     baseline.refresh(1.0);
-    assert_eq!(baseline.hedge_after(ROUTE), TERMS.objective / 2, "nothing is known");
+    assert_eq!(baseline.hedge_after(ROUTE), TERMS.objective / 2, "no samples yet");
     let usual = Duration::from_millis(100);
     (0..200).for_each(|_| baseline.add(ROUTE, Class::Good, Some(usual)));
     baseline.refresh(1.0);
--- a/crates/policy/src/tests/rate_limit.rs
+++ b/crates/policy/src/tests/rate_limit.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_limited_endpoint_gets_what_it_takes_and_no_more() {
+fn a_limited_endpoint_gets_its_rate_and_no_more() {
     for per_s in [0.5, 2.0, 8.0] {
         let (mut it, mut rng) = limited(per_s);
         let granted = grants(&mut it, &mut rng, 30, 0, 20_000).len() as f64;
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn a_limit_of_nothing_lets_its_end_be_noticed() {
+fn a_limit_of_zero_still_allows_sends_that_show_its_end() {
     let (mut it, mut rng) = limited(0.0);
     let granted = grants(&mut it, &mut rng, 30, 0, 20_000);
     assert!((3..=6).contains(&granted.len()), "{granted:?}");
 }
 
 #[test]
-fn a_limit_ends_with_the_answer_that_names_none() {
+fn a_limit_ends_with_the_answer_that_states_none() {
     let (mut it, mut rng) = limited(0.5);
     grants(&mut it, &mut rng, 30, 0, 4_000);
     assert!(it.noticed(at(4_000), NodeId(1), "i-1000", 0, Notice::RateLimit(None)));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_next_life_of_an_endpoint_has_no_limit() {
+fn the_next_incarnation_of_an_endpoint_has_no_limit() {
     let mut service = service(&[1], 1, Bias::Balanced);
     let (mut it, _) = dispatcher(&service);
     it.noticed(at(0), NodeId(1), "i-1000", 0, Notice::RateLimit(limit(1.0)));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn what_no_limit_leaves_room_for_is_refused_at_once() {
+fn requests_beyond_a_limit_are_refused_at_once() {
     let (mut it, mut rng) = limited(1.0);
     let ask_at = |it: &mut Dispatcher, rng: &mut StdRng, seq| {
         it.ask(at(1_000), Ask { left: 2 * SECOND, ..ask(seq, true) }, rng)
@@ -142,33 +142,33 @@
 }
 
 #[test]
-fn who_takes_over_goes_by_what_askers_were_told() {
+fn a_successor_follows_the_limits_that_askers_observed() {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
-    let heard = ObservedLimit {
+    let observed = ObservedLimit {
         endpoint: service.endpoints[0].addr,
         limit: limit(1.0).unwrap(),
         age_ms: 100,
         sent_ms: Some(400),
     };
-    let told = |seq| Ask { limits: vec![heard], wait: false, ..ask(seq, true) };
-    assert_eq!(it.ask(at(5_000), told(0), &mut rng), Reply::Full);
+    let with_limit = |seq| Ask { limits: vec![observed], wait: false, ..ask(seq, true) };
+    assert_eq!(it.ask(at(5_000), with_limit(0), &mut rng), Reply::Full);
     assert_eq!(it.ask(at(5_900), ask(1, false), &mut rng), Reply::Full);
     assert!(matches!(it.ask(at(6_000), ask(2, false), &mut rng), Reply::Granted(_)));
 }
 
 #[test]
-fn an_older_word_of_an_asker_undoes_no_newer_one() {
+fn an_older_limit_of_an_asker_overrides_no_newer_one() {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
     it.noticed(at(5_000), NodeId(1), "i-1000", 0, Notice::RateLimit(None));
-    let heard = ObservedLimit {
+    let observed = ObservedLimit {
         endpoint: service.endpoints[0].addr,
         limit: limit(1.0).unwrap(),
         age_ms: 300,
         sent_ms: None,
     };
-    it.ask(at(5_100), Ask { limits: vec![heard], ..ask(0, true) }, &mut rng);
+    it.ask(at(5_100), Ask { limits: vec![observed], ..ask(0, true) }, &mut rng);
     assert_eq!(it.evidence_of(at(5_100), 0).rate_limit, None);
 }
 
@@ -198,14 +198,14 @@
         per_s in 0.0..20.0_f64,
         pauses in prop::collection::vec(0..2_000_u64, 1..200),
     ) {
-        let mut pace = Pacer::default();
-        pace.observe(at(0), at(0), limit(per_s));
+        let mut pacer = Pacer::default();
+        pacer.observe(at(0), at(0), limit(per_s));
         let mut now = at(0);
         let mut sent = Vec::new();
         for pause in pauses {
             now = now + Duration::from_millis(pause);
-            if pace.allows(now, 1) {
-                pace.sent(now, 1);
+            if pacer.allows(now, 1) {
+                pacer.sent(now, 1);
                 sent.push(now);
             }
         }
@@ -247,7 +247,7 @@
 
 /// An endpoint may become cold again at any time and is then limited until it is warm.
 #[test]
-fn a_cold_endpoint_gets_what_it_bears_until_it_is_warm() {
+fn a_cold_endpoint_gets_its_cold_rate_until_it_is_warm() {
     let warm = cold(0);
     let (mut it, mut rng) = dispatcher(&warm);
     assert!(sends_a_second(&mut it, &mut rng, 0, 1)[0] > 20);
@@ -274,7 +274,7 @@
 
 /// A node that dispatches only for itself does not know the sends of the others.
 #[test]
-fn nodes_that_pick_for_themselves_share_what_a_cold_endpoint_bears() {
+fn nodes_that_pick_for_themselves_share_the_rate_of_a_cold_endpoint() {
     let service = cold(3_000);
     let mut sends = 0;
     for node in 0..20 {
--- a/crates/policy/src/tests/silence.rs
+++ b/crates/policy/src/tests/silence.rs
@@ -14,7 +14,7 @@
 /// deadline counted as no evidence.
 #[test]
 fn an_endpoint_that_lets_requests_time_out_is_used_last() {
-    let set_back_after = |kind, elapsed| {
+    let used_last_after = |kind, elapsed| {
         let service = service(&[3], 1, Bias::Speed);
         let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
         (0..2).for_each(|i| {
@@ -24,9 +24,9 @@
         dispatcher.set_back(Time(0)).count()
     };
     for kind in [Kind::TimedOut, Kind::Abandoned, Kind::LostToHedge, Kind::Stalled] {
-        assert_eq!(set_back_after(kind, TERMS.objective * 2), 1, "{kind:?}");
+        assert_eq!(used_last_after(kind, TERMS.objective * 2), 1, "{kind:?}");
         // Too little time was left for the requests, or their callers disconnected early.
-        assert_eq!(set_back_after(kind, TERMS.objective / 20), 0, "{kind:?}");
+        assert_eq!(used_last_after(kind, TERMS.objective / 20), 0, "{kind:?}");
     }
 }
 
@@ -57,7 +57,7 @@
 /// Guards against sending more requests to a hanging endpoint: an open request counted as evidence
 /// only after its deadline.
 #[test]
-fn an_endpoint_with_a_request_that_is_open_for_unusually_long_is_passed_over() {
+fn an_endpoint_with_a_request_that_is_open_for_unusually_long_is_avoided() {
     let mut rng = StdRng::seed_from_u64(1);
     let (mut dispatcher, _, addr) = with_an_open_request(&mut rng);
     let long = Time(0) + TERMS.objective * 2;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_answer_that_has_begun_may_last() {
+fn an_answer_that_has_begun_may_take_long() {
     let mut rng = StdRng::seed_from_u64(1);
     let (mut dispatcher, id, addr) = with_an_open_request(&mut rng);
     dispatcher.answer_began(Time(0) + TERMS.objective / 4, id, TERMS.objective / 4, &mut rng);
@@ -93,12 +93,12 @@
 /// release was lost (`lost_frames.rs` of the fleet); this test covers a request that is really
 /// open.
 #[test]
-fn an_endpoint_that_is_missed_gets_work_beside_a_request_without_an_answer() {
+fn a_starved_endpoint_gets_work_beside_an_unanswered_request() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[4], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
     let mut held = None;
-    let mut given = Vec::new();
+    let mut granted_at = Vec::new();
     for seq in 0..800 {
         let now = Time(0) + Duration::from_millis(10 * seq);
         dispatcher.tick(now, &mut rng);
@@ -106,19 +106,20 @@
         let ask = Ask { is_last: true, ..ask(seq, true) };
         let id = ask.id;
         let Reply::Granted(grant) = dispatcher.ask(now, ask, &mut rng) else { continue };
-        let is_it = grant.addr == service.endpoints[0].addr;
-        if is_it {
-            given.push(now);
+        let is_first = grant.addr == service.endpoints[0].addr;
+        if is_first {
+            granted_at.push(now);
         }
-        if is_it && held.is_none() {
+        if is_first && held.is_none() {
             held = Some(id);
             continue;
         }
-        let kind = if !is_it && seq % 5 == 0 { Kind::Failed } else { Kind::Answered };
+        let kind = if !is_first && seq % 5 == 0 { Kind::Failed } else { Kind::Answered };
         dispatcher.release(now, id, kind, Duration::from_millis(5), &mut rng);
     }
-    let gaps = given.windows(2).map(|it| it[1].since(it[0]));
-    let longest = gaps.chain([(Time(0) + SECOND * 8).since(*given.last().unwrap())]).max().unwrap();
+    let gaps = granted_at.windows(2).map(|it| it[1].since(it[0]));
+    let longest =
+        gaps.chain([(Time(0) + SECOND * 8).since(*granted_at.last().unwrap())]).max().unwrap();
     assert!(longest < SECOND * 2, "without work for {longest:?}");
 }
 
@@ -128,12 +129,12 @@
 /// a booking service, 5 of 13 healthy endpoints were idle for 3.4 to 4.8 s with their last failure
 /// 0.4 to 1.7 s old, while 148 of 978 bookings were not served.
 #[test]
-fn a_time_limit_that_passes_speaks_of_the_time_at_which_the_request_was_sent() {
+fn a_timeout_is_evidence_for_the_time_of_the_send() {
     let mut rng = StdRng::seed_from_u64(1);
     let service = service(&[8], 1, Bias::Speed);
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
     let hung = service.endpoints[0].addr;
-    let (mut ends, mut given) = (std::collections::BTreeMap::new(), Vec::new());
+    let (mut ends, mut granted_at) = (std::collections::BTreeMap::new(), Vec::new());
     for seq in 0..900 {
         let now = Time(0) + Duration::from_millis(10 * seq);
         while let Some((end, id, kind, took)) = ends.pop_first().map(|(key, it)| {
@@ -154,7 +155,7 @@
         let Reply::Granted(grant) = dispatcher.ask(now, ask, &mut rng) else { continue };
         let is_hung = grant.addr == hung && now < Time(0) + SECOND;
         if grant.addr == hung {
-            given.push(now);
+            granted_at.push(now);
         }
         let (kind, took) = match seq % 6 {
             _ if is_hung => (Kind::TimedOut, SECOND * 3),
@@ -163,8 +164,9 @@
         };
         ends.insert((now + took, id.seq), (id, kind, took));
     }
-    let gaps = given.windows(2).map(|it| it[1].since(it[0]));
-    let longest = gaps.chain([(Time(0) + SECOND * 9).since(*given.last().unwrap())]).max().unwrap();
+    let gaps = granted_at.windows(2).map(|it| it[1].since(it[0]));
+    let longest =
+        gaps.chain([(Time(0) + SECOND * 9).since(*granted_at.last().unwrap())]).max().unwrap();
     // The endpoint counts as healthy two seconds after its last failing send, and must get work
     // within two more.
     assert!(longest < SECOND * 4, "without work for {longest:?}");
--- a/crates/policy/src/tests/suspects.rs
+++ b/crates/policy/src/tests/suspects.rs
@@ -11,17 +11,17 @@
 use crate::{Ask, Dispatcher, Kind, PermitId, Rejection, Reply, RequestKey, RunEnd, Time};
 
 const SOON: Duration = Duration::from_millis(100);
-const GUILTY: RequestKey = RequestKey(1);
+const CRASHING: RequestKey = RequestKey(1);
 const OTHER: RequestKey = RequestKey(2);
 
-struct Bed {
+struct Fixture {
     dispatcher: Dispatcher,
     rng: StdRng,
     now: Time,
     next: u64,
 }
 
-impl Bed {
+impl Fixture {
     fn new(service: &Service) -> Self {
         let dispatcher = Dispatcher::new(Time(0), service, &[TERMS], BUDGET);
         Self { dispatcher, rng: StdRng::seed_from_u64(1), now: Time(0), next: 0 }
@@ -62,9 +62,9 @@
 /// Sends that end one after the other with `ends`, and whether the request is then rejected.
 #[track_caller]
 fn check(ends: &[Kind], rejected: bool) {
-    let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
-    ends.iter().for_each(|it| drop(bed.run(GUILTY, *it)));
-    assert_eq!(bed.is_rejected(GUILTY), rejected, "{ends:?}");
+    let mut fixture = Fixture::new(&service(&[9], 1, Bias::Balanced));
+    ends.iter().for_each(|it| drop(fixture.run(CRASHING, *it)));
+    assert_eq!(fixture.is_rejected(CRASHING), rejected, "{ends:?}");
 }
 
 #[test]
@@ -78,106 +78,109 @@
 }
 
 #[test]
-fn what_is_rejected_is_refused_at_once_those_that_wait_included() {
-    let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
-    bed.run(GUILTY, Kind::Crashed);
-    bed.run(GUILTY, Kind::Crashed);
-    let last = bed.granted(GUILTY);
-    assert_eq!(bed.ask(GUILTY).1, Reply::Queued, "one at a time");
-    let other = bed.granted(OTHER);
-    bed.now = bed.now + SOON;
-    let settled = bed.end(last, Kind::Crashed);
+fn rejected_requests_are_refused_at_once_even_while_waiting() {
+    let mut fixture = Fixture::new(&service(&[9], 1, Bias::Balanced));
+    fixture.run(CRASHING, Kind::Crashed);
+    fixture.run(CRASHING, Kind::Crashed);
+    let last = fixture.granted(CRASHING);
+    assert_eq!(fixture.ask(CRASHING).1, Reply::Queued, "one at a time");
+    let other = fixture.granted(OTHER);
+    fixture.now = fixture.now + SOON;
+    let settled = fixture.end(last, Kind::Crashed);
     assert!(matches!(settled[..], [Reply::Rejected { retry_after }] if retry_after > SECOND));
-    assert!(matches!(bed.ask(GUILTY).1, Reply::Rejected { .. }));
-    bed.end(other, Kind::Answered);
-    assert!(matches!(bed.ask(OTHER).1, Reply::Granted(_)));
-    assert_eq!(bed.dispatcher.take_rejections().len(), 1);
-    assert_eq!(bed.dispatcher.take_counts().rejected, 2);
+    assert!(matches!(fixture.ask(CRASHING).1, Reply::Rejected { .. }));
+    fixture.end(other, Kind::Answered);
+    assert!(matches!(fixture.ask(OTHER).1, Reply::Granted(_)));
+    assert_eq!(fixture.dispatcher.take_rejections().len(), 1);
+    assert_eq!(fixture.dispatcher.take_counts().rejected, 2);
 }
 
 #[test]
 fn copies_that_end_with_a_rack_count_once() {
-    let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
-    let open: Vec<_> = (0..5).map(|_| bed.granted(OTHER)).collect();
-    bed.now = bed.now + SOON;
-    open.into_iter().for_each(|it| drop(bed.end(it, Kind::Crashed)));
-    bed.run(OTHER, Kind::Crashed);
-    assert!(!bed.is_rejected(OTHER));
+    let mut fixture = Fixture::new(&service(&[9], 1, Bias::Balanced));
+    let open: Vec<_> = (0..5).map(|_| fixture.granted(OTHER)).collect();
+    fixture.now = fixture.now + SOON;
+    open.into_iter().for_each(|it| drop(fixture.end(it, Kind::Crashed)));
+    fixture.run(OTHER, Kind::Crashed);
+    assert!(!fixture.is_rejected(OTHER));
 }
 
 #[test]
-fn a_request_that_was_answered_lately_is_not_held_up_by_a_crash() {
-    let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
-    bed.run(OTHER, Kind::Answered);
+fn a_recently_answered_request_is_not_delayed_by_a_crash() {
+    let mut fixture = Fixture::new(&service(&[9], 1, Bias::Balanced));
+    fixture.run(OTHER, Kind::Answered);
     for _ in 0..5 {
-        bed.run(OTHER, Kind::Crashed);
+        fixture.run(OTHER, Kind::Crashed);
     }
-    assert!(!bed.is_rejected(OTHER));
-    let _open = bed.granted(OTHER);
-    assert!(matches!(bed.ask(OTHER).1, Reply::Granted(_)), "several at a time");
+    assert!(!fixture.is_rejected(OTHER));
+    let _open = fixture.granted(OTHER);
+    assert!(matches!(fixture.ask(OTHER).1, Reply::Granted(_)), "several at a time");
 }
 
 #[test]
 fn two_suspects_never_run_on_one_endpoint() {
-    let mut bed = Bed::new(&service(&[1], 1, Bias::Balanced));
-    let both = [bed.granted(GUILTY), bed.granted(OTHER)];
-    bed.now = bed.now + SOON;
-    both.into_iter().for_each(|it| drop(bed.end(it, Kind::Crashed)));
-    let _open = bed.granted(GUILTY);
-    assert_eq!(bed.ask(OTHER).1, Reply::Queued);
-    assert!(matches!(bed.ask(RequestKey(3)).1, Reply::Granted(_)), "others are served beside");
+    let mut fixture = Fixture::new(&service(&[1], 1, Bias::Balanced));
+    let both = [fixture.granted(CRASHING), fixture.granted(OTHER)];
+    fixture.now = fixture.now + SOON;
+    both.into_iter().for_each(|it| drop(fixture.end(it, Kind::Crashed)));
+    let _open = fixture.granted(CRASHING);
+    assert_eq!(fixture.ask(OTHER).1, Reply::Queued);
+    assert!(matches!(fixture.ask(RequestKey(3)).1, Reply::Granted(_)), "others are served");
 }
 
 #[test]
 fn an_endpoint_that_leaves_ends_by_itself() {
     let mut all = service(&[9], 1, Bias::Balanced);
-    let mut bed = Bed::new(&all);
+    let mut fixture = Fixture::new(&all);
     for _ in 0..4 {
-        let id = bed.granted(OTHER);
+        let id = fixture.granted(OTHER);
         all.endpoints.iter_mut().for_each(|it| it.standing = Standing::Leaving);
-        bed.dispatcher.reconfigure(bed.now, &all, &[TERMS]);
-        bed.now = bed.now + SOON;
-        bed.end(id, Kind::Crashed);
+        fixture.dispatcher.reconfigure(fixture.now, &all, &[TERMS]);
+        fixture.now = fixture.now + SOON;
+        fixture.end(id, Kind::Crashed);
         all.endpoints.iter_mut().for_each(|it| {
             it.standing = Standing::Present;
             it.started_ms += 1;
         });
-        bed.dispatcher.reconfigure(bed.now, &all, &[TERMS]);
+        fixture.dispatcher.reconfigure(fixture.now, &all, &[TERMS]);
     }
-    assert!(!bed.is_rejected(OTHER));
+    assert!(!fixture.is_rejected(OTHER));
 }
 
 #[test]
 fn after_its_time_one_send_tries_a_rejected_request() {
-    let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
-    (0..3).for_each(|_| drop(bed.run(GUILTY, Kind::Crashed)));
-    let first = bed.dispatcher.rejected(bed.now, GUILTY).unwrap();
-    bed.now = bed.now + first;
-    bed.run(GUILTY, Kind::Crashed);
-    let second = bed.dispatcher.rejected(bed.now, GUILTY).unwrap();
+    let mut fixture = Fixture::new(&service(&[9], 1, Bias::Balanced));
+    (0..3).for_each(|_| drop(fixture.run(CRASHING, Kind::Crashed)));
+    let first = fixture.dispatcher.rejected(fixture.now, CRASHING).unwrap();
+    fixture.now = fixture.now + first;
+    fixture.run(CRASHING, Kind::Crashed);
+    let second = fixture.dispatcher.rejected(fixture.now, CRASHING).unwrap();
     assert_eq!(second, first * 2);
-    bed.now = bed.now + second;
-    bed.run(GUILTY, Kind::Answered);
-    bed.run(GUILTY, Kind::Crashed);
-    assert!(!bed.is_rejected(GUILTY), "a new release bears it");
+    fixture.now = fixture.now + second;
+    fixture.run(CRASHING, Kind::Answered);
+    fixture.run(CRASHING, Kind::Crashed);
+    assert!(!fixture.is_rejected(CRASHING), "a new release handles it");
 }
 
 #[test]
-fn the_word_of_another_node_rejects_and_its_crashes_count() {
-    let mut bed = Bed::new(&service(&[9], 1, Bias::Balanced));
+fn rejections_and_crashes_reported_by_other_nodes_count() {
+    let mut fixture = Fixture::new(&service(&[9], 1, Bias::Balanced));
     for _ in 0..3 {
-        bed.now = bed.now + SECOND;
+        fixture.now = fixture.now + SECOND;
         // Two nodes report the same crash.
-        bed.dispatcher.ran(bed.now, GUILTY, RunEnd::Crashed, SOON);
-        bed.dispatcher.ran(bed.now + SOON / 10, GUILTY, RunEnd::Crashed, SOON);
+        fixture.dispatcher.ran(fixture.now, CRASHING, RunEnd::Crashed, SOON);
+        fixture.dispatcher.ran(fixture.now + SOON / 10, CRASHING, RunEnd::Crashed, SOON);
     }
-    assert!(bed.is_rejected(GUILTY));
-    assert_eq!(bed.dispatcher.take_rejections().len(), 1);
-
-    let mut other = Bed::new(&service(&[9], 1, Bias::Balanced));
-    other.dispatcher.reject(Time(0), Rejection { request: GUILTY, valid_ms: 1_000 });
-    assert!(other.is_rejected(GUILTY));
-    assert!(other.dispatcher.take_rejections().is_empty(), "it was told already");
+    assert!(fixture.is_rejected(CRASHING));
+    assert_eq!(fixture.dispatcher.take_rejections().len(), 1);
+
+    let mut other = Fixture::new(&service(&[9], 1, Bias::Balanced));
+    other.dispatcher.reject(Time(0), Rejection { request: CRASHING, valid_ms: 1_000 });
+    assert!(other.is_rejected(CRASHING));
+    assert!(
+        other.dispatcher.take_rejections().is_empty(),
+        "the other node has reported it already"
+    );
 }
 
 #[test]
@@ -185,24 +188,24 @@
     let mut it = Suspects::default();
     let mut now = Time(0) + SECOND;
     for _ in 0..2 {
-        it.crashed(now, GUILTY, now);
+        it.crashed(now, CRASHING, now);
         now = now + SECOND;
     }
     for key in 10..10_000 {
         it.crashed(now, RequestKey(key), now);
     }
     assert!(it.len() <= 1024, "{}", it.len());
-    it.crashed(now + SECOND, GUILTY, now + SECOND);
-    assert!(it.rejected(now + SECOND, GUILTY).is_some());
+    it.crashed(now + SECOND, CRASHING, now + SECOND);
+    assert!(it.rejected(now + SECOND, CRASHING).is_some());
 }
 
 /// Endpoints that crash under one of the requests and restart, callers that repeat this request at
 /// a high rate, and harmless requests: unique ones and one sent by many callers.
 struct Model {
-    bed: Bed,
+    fixture: Fixture,
     service: Service,
     /// When each endpoint that is down restarts.
-    back: Vec<Option<Time>>,
+    restarts_at: Vec<Option<Time>>,
     open: Vec<Send>,
     waiting: Vec<(PermitId, RequestKey)>,
     crashes: Vec<Time>,
@@ -226,41 +229,41 @@
 impl Model {
     fn new(endpoints: usize, seed: u64) -> Self {
         let service = service(&[endpoints], 1, Bias::Balanced);
-        let back = vec![None; endpoints];
+        let restarts_at = vec![None; endpoints];
         let rng = StdRng::seed_from_u64(seed);
         let (open, waiting, crashes) = (Vec::new(), Vec::new(), Vec::new());
-        Self { bed: Bed::new(&service), service, back, open, waiting, crashes, rng }
+        Self { fixture: Fixture::new(&service), service, restarts_at, open, waiting, crashes, rng }
     }
 
-    fn come(&mut self, request: RequestKey) {
-        let (id, reply) = self.bed.ask(request);
+    fn arrive(&mut self, request: RequestKey) {
+        let (id, reply) = self.fixture.ask(request);
         self.take(id, request, reply);
     }
 
     fn take(&mut self, id: PermitId, request: RequestKey, reply: Reply) {
         match reply {
             Reply::Granted(it) => {
-                let all = self.bed.dispatcher.endpoints();
+                let all = self.fixture.dispatcher.endpoints();
                 let i = all.iter().position(|e| e.id == it.endpoint).unwrap();
                 let ms = self.rng.random_range(5..120);
-                let is_unreached = self.back[i].is_some();
+                let is_unreached = self.restarts_at[i].is_some();
                 let ms = match request {
                     _ if is_unreached => 1,
-                    GUILTY => ms,
+                    CRASHING => ms,
                     _ => ms * 5,
                 };
-                let due = self.bed.now + Duration::from_millis(ms);
+                let due = self.fixture.now + Duration::from_millis(ms);
                 self.open.push(Send { id, request, endpoint: i, due, is_unreached });
             }
             Reply::Queued => self.waiting.push((id, request)),
-            Reply::Rejected { .. } => assert_eq!(request, GUILTY, "a harmless one is rejected"),
+            Reply::Rejected { .. } => assert_eq!(request, CRASHING, "a harmless one is rejected"),
             Reply::Refused { .. } | Reply::Full => {}
         }
     }
 
     fn end(&mut self, id: PermitId, kind: Kind) {
-        let now = self.bed.now;
-        let settled = self.bed.dispatcher.release(now, id, kind, SOON, &mut self.bed.rng);
+        let now = self.fixture.now;
+        let settled = self.fixture.dispatcher.release(now, id, kind, SOON, &mut self.fixture.rng);
         for it in settled {
             let i = self.waiting.iter().position(|(id, _)| *id == it.id).unwrap();
             let (id, request) = self.waiting.swap_remove(i);
@@ -269,33 +272,33 @@
     }
 
     fn crash(&mut self, i: usize) {
-        self.crashes.push(self.bed.now);
+        self.crashes.push(self.fixture.now);
         let down = Duration::from_millis(self.rng.random_range(1_000..4_000));
-        self.back[i] = Some(self.bed.now + down);
+        self.restarts_at[i] = Some(self.fixture.now + down);
         let (lost, kept): (Vec<_>, _) = self.open.drain(..).partition(|it| it.endpoint == i);
         self.open = kept;
         lost.into_iter().for_each(|it| self.end(it.id, Kind::Crashed));
     }
 
     fn step(&mut self) {
-        self.bed.now = self.bed.now + Duration::from_millis(5);
-        let now = self.bed.now;
+        self.fixture.now = self.fixture.now + Duration::from_millis(5);
+        let now = self.fixture.now;
         if self.rng.random_ratio(1, 8) {
-            self.come(GUILTY);
+            self.arrive(CRASHING);
         }
         if self.rng.random_ratio(1, 8) {
-            self.come(POPULAR);
+            self.arrive(POPULAR);
         }
         if self.rng.random_ratio(1, 8) {
             let own = RequestKey(self.rng.random_range(100..u64::MAX));
-            self.come(own);
+            self.arrive(own);
         }
         let due: Vec<Send> = self.open.iter().filter(|it| it.due <= now).copied().collect();
         for it in due {
             // The request may have ended with its endpoint in the meantime.
             let Some(at) = self.open.iter().position(|other| other.id == it.id) else { continue };
             match it.request {
-                GUILTY if !it.is_unreached => self.crash(it.endpoint),
+                CRASHING if !it.is_unreached => self.crash(it.endpoint),
                 _ => {
                     self.open.swap_remove(at);
                     let kind = if it.is_unreached { Kind::Unreachable } else { Kind::Answered };
@@ -304,18 +307,18 @@
             }
         }
         let mut is_new = false;
-        for (back, it) in self.back.iter_mut().zip(&mut self.service.endpoints) {
-            if back.is_some_and(|at| at <= now) {
-                *back = None;
+        for (restarts_at, it) in self.restarts_at.iter_mut().zip(&mut self.service.endpoints) {
+            if restarts_at.is_some_and(|at| at <= now) {
+                *restarts_at = None;
                 it.started_ms += 1;
                 is_new = true;
             }
         }
         if is_new {
             // Permits of the previous incarnation ended with it.
-            self.bed.dispatcher.reconfigure(now, &self.service, &[TERMS]);
+            self.fixture.dispatcher.reconfigure(now, &self.service, &[TERMS]);
         }
-        let settled = self.bed.dispatcher.tick(now, &mut self.bed.rng);
+        let settled = self.fixture.dispatcher.tick(now, &mut self.fixture.rng);
         for it in settled {
             let Some(i) = self.waiting.iter().position(|(id, _)| *id == it.id) else { continue };
             let (id, request) = self.waiting.swap_remove(i);
@@ -325,7 +328,7 @@
 }
 
 #[test]
-fn the_guilty_one_is_found_among_harmless_ones_on_few_endpoints() {
+fn the_crashing_request_is_found_among_harmless_ones_on_few_endpoints() {
     for endpoints in [1, 2, 3, 9, 40] {
         for seed in 0..40 {
             let mut it = Model::new(endpoints, seed);
@@ -334,7 +337,7 @@
             // crashes.
             let first = it.crashes[0];
             let late = it.crashes.iter().filter(|at| at.since(first) > SECOND).count();
-            assert!(it.bed.is_rejected(GUILTY), "{endpoints} endpoints, seed {seed}");
+            assert!(it.fixture.is_rejected(CRASHING), "{endpoints} endpoints, seed {seed}");
             assert!(late <= 2, "{endpoints} endpoints, seed {seed}: {:?}", it.crashes);
             assert!(it.crashes.len() <= 7, "{endpoints} endpoints, seed {seed}: {:?}", it.crashes);
         }
--- a/crates/policy/src/tests/verdicts.rs
+++ b/crates/policy/src/tests/verdicts.rs
@@ -24,7 +24,7 @@
     let since = bench.now;
     for n in 1..100_000 {
         bench.now = since + MS * n;
-        bench.judge.tick(bench.now);
+        bench.detector.tick(bench.now);
         bench.report(0, reporter(n.into()), health);
         // The siblings continue to work.
         bench.step(Duration::ZERO);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn nobody_is_ejected_while_all_are_well() {
+fn nobody_is_ejected_while_all_are_healthy() {
     for (bias, heavy_tail) in [(Bias::Speed, false), (Bias::Speed, true), (Bias::Caution, true)] {
         let mut bench = Bench::new(&service(&[5, 5, 5], 9, bias));
         bench.heavy_tail = heavy_tail;
@@ -80,13 +80,13 @@
     let mut bench = bench(Bias::Speed);
     for _ in 0..500 {
         bench.report(0, reporter(50), Health::Stalls(1.0));
-        bench.report(0, reporter(51), Health::Well);
+        bench.report(0, reporter(51), Health::Healthy);
         bench.run(5, MS);
     }
     assert_eq!(bench.ejections(), 0);
-    assert!(bench.judge.avoids(bench.now, 0, reporter(50)));
-    assert!(!bench.judge.avoids(bench.now, 0, reporter(51)));
-    assert!(bench.judge.path_faults > 0);
+    assert!(bench.detector.avoids(bench.now, 0, reporter(50)));
+    assert!(!bench.detector.avoids(bench.now, 0, reporter(51)));
+    assert!(bench.detector.path_faults > 0);
 }
 
 #[test]
@@ -95,23 +95,23 @@
     for i in 0..500 {
         // Nodes 30, 33, 36, … are in the failure domain with the hash 0.
         bench.report(0, reporter(30 + 3 * (i % 5)), Health::Stalls(1.0));
-        bench.report(0, reporter(31), Health::Well);
+        bench.report(0, reporter(31), Health::Healthy);
         bench.run(5, MS);
     }
     assert_eq!(bench.ejections(), 0);
-    assert!(bench.judge.avoids(bench.now, 0, reporter(99)), "domain 0 keeps away");
-    assert!(!bench.judge.avoids(bench.now, 0, reporter(100)), "domain 1 does not");
+    assert!(bench.detector.avoids(bench.now, 0, reporter(99)), "failure domain 0 avoids it");
+    assert!(!bench.detector.avoids(bench.now, 0, reporter(100)), "failure domain 1 does not");
 }
 
 #[test]
-fn a_node_that_fails_everywhere_is_not_believed() {
+fn a_node_that_fails_everywhere_is_itself_at_fault() {
     let mut bench = bench(Bias::Speed);
     for i in 0..600 {
         bench.report(i % 15, reporter(50), Health::Fails(1.0));
         bench.run(1, MS);
     }
     assert_eq!(bench.ejections(), 0);
-    assert!(bench.judge.reporter_faults > 0);
+    assert!(bench.detector.reporter_faults > 0);
 }
 
 #[test]
@@ -120,7 +120,7 @@
     bench.health[0] = Health::Stalls(1.0);
     bench.run(300, MS);
     assert_eq!(bench.states()[0], "ejected");
-    bench.health[0] = Health::Well;
+    bench.health[0] = Health::Healthy;
     bench.run(1_000, MS);
     let mut seen = vec![bench.states()[0]];
     for _ in 0..10_000 {
@@ -137,37 +137,37 @@
 #[test]
 fn an_endpoint_that_flaps_is_tried_again_after_the_same_time() {
     let mut bench = bench(Bias::Speed);
-    let mut outs = Vec::new();
+    let mut ejected_for = Vec::new();
     for _ in 0..3 {
         bench.health[0] = Health::Stalls(1.0);
         while bench.states()[0] != "ejected" {
             bench.step(MS);
         }
         let since = bench.now;
-        bench.health[0] = Health::Well;
+        bench.health[0] = Health::Healthy;
         while bench.states()[0] == "ejected" {
             bench.step(MS);
         }
-        outs.push(bench.now.since(since).as_secs());
+        ejected_for.push(bench.now.since(since).as_secs());
         bench.run(20_000, MS);
         assert_eq!(bench.states()[0], "healthy");
     }
-    assert_eq!(outs, [2, 2, 2]);
+    assert_eq!(ejected_for, [2, 2, 2]);
 }
 
 /// Guards against counting the stalls of the first unhealthy endpoint as normal. Three stalls, the
 /// most that an endpoint with three slots can show, were then not enough to detect the next one.
 #[test]
-fn the_next_sick_endpoint_is_found_as_fast_as_the_first() {
+fn the_next_unhealthy_endpoint_is_found_as_fast_as_the_first() {
     // Few outcomes, so that a few stalls among them have a large share.
     let mut bench = Bench::new(&service(&[5, 5, 5], 9, Bias::Speed));
     bench.run(1_500, MS);
-    for sick in [0, 5, 10] {
+    for unhealthy in [0, 5, 10] {
         let before = bench.now;
         for n in 1..=3 {
-            bench.report(sick, reporter(n), Health::Stalls(1.0));
+            bench.report(unhealthy, reporter(n), Health::Stalls(1.0));
         }
-        assert_eq!(bench.states()[sick], "ejected", "endpoint {sick} after {before:?}");
+        assert_eq!(bench.states()[unhealthy], "ejected", "endpoint {unhealthy} after {before:?}");
         bench.run(300, MS);
     }
 }
@@ -177,7 +177,7 @@
     let mut bench = bench(Bias::Speed);
     bench.health[0] = Health::Stalls(1.0);
     bench.run(12_000, MS);
-    let changes = bench.judge.rotation.take_changes();
+    let changes = bench.detector.rotation.take_changes();
     let on_trial: Vec<_> = changes.iter().filter(|it| it.from.name() == "trial").collect();
     assert!(!on_trial.is_empty());
     assert!(on_trial.iter().all(|it| it.to.name() == "ejected"), "{on_trial:?}");
@@ -187,7 +187,7 @@
 fn evidence_from_before_a_pause_is_dropped() {
     let mut bench = bench(Bias::Speed);
     (0..2).for_each(|_| bench.report(0, reporter(1), Health::Stalls(1.0)));
-    assert!(bench.judge.score(0) > 0.0);
-    bench.judge.discard_evidence();
-    assert_eq!(bench.judge.score(0), 0.0);
+    assert!(bench.detector.score(0) > 0.0);
+    bench.detector.discard_evidence();
+    assert_eq!(bench.detector.score(0), 0.0);
 }
