--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -22,7 +22,7 @@
 use fault::{Fault, Scope};
 
 /// Outcomes kept per endpoint to attribute a run of failures.
-const RECENT: usize = 32;
+const MAX_RECENT: usize = 32;
 /// How long a reporter avoids an endpoint after a path fault.
 const AVOID_FOR: Duration = Duration::from_secs(5);
 /// After a fault shared by siblings, the endpoint is not ejected for this long, so that the fault
@@ -76,7 +76,7 @@
     refreshed: Time,
     /// Outcomes have arrived since the last refresh.
     is_active: bool,
-    // Numbers of faults found by cause, for the report.
+    // Faults found so far by cause, for the report.
     pub(crate) path_faults: u64,
     pub(crate) shared_faults: u64,
     pub(crate) reporter_faults: u64,
@@ -213,7 +213,7 @@
                 self.reporter_faults += 1;
                 self.discard_reports_of(reporter);
             }
-            // Siblings that fail alike stay in rotation alike.
+            // The siblings fail alike, so none of them is ejected.
             Fault::Shared => {
                 self.shared_faults += 1;
                 self.evidence[it.endpoint].deferred_until = now + SHARED_FAULT_DEFERRAL;
@@ -277,7 +277,7 @@
         }
         let ratio = log_likelihood_ratio(class, self.baseline.shares());
         let recent = &mut self.evidence[it.endpoint].recent;
-        if recent.len() == RECENT {
+        if recent.len() == MAX_RECENT {
             recent.pop_front();
         }
         let started = now - it.elapsed;
