--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -125,7 +125,7 @@
         previous != limit
     }
 
-    /// Whether a send may go out now.
+    /// Whether the limit allows a send now.
     pub(crate) fn allows(&self, now: Time, sharers: usize) -> bool {
         self.effective_limit(now).is_none_or(|it| now >= self.last_scheduled + it.interval(sharers))
     }
--- a/crates/policy/src/tests/allowance.rs
+++ b/crates/policy/src/tests/allowance.rs
@@ -190,7 +190,7 @@
         }
         let (rate_per_s, burst) = (it.rate * self.factor, it.burst * self.factor);
         for _ in 0..3 {
-            let owner = owner_of(id, &self.owners(now, i)).expect("there is one").0 as usize;
+            let owner = owner_of(id, &self.owners(now, i)).expect("at least one owner").0 as usize;
             if !self.answers(now, i, owner) {
                 self.nodes[i].skipped_until[owner] = now + SKIP_TIME;
                 continue;
--- a/crates/policy/src/tests/floor_model.rs
+++ b/crates/policy/src/tests/floor_model.rs
@@ -125,7 +125,7 @@
     assert_eq!(bfs(&START, World::successors, World::is_below_floor), None);
     let states = bfs_reach(START, World::successors).count();
     println!("{states} states, all that can be reached");
-    assert!(states > 30, "the model has {states} states: too few to mean anything");
+    assert!(states > 30, "the model has {states} states: too few for a meaningful check");
 }
 
 #[test]
@@ -133,7 +133,10 @@
     let broken = [World { settles: false, ..START }, World { splits: false, ..START }];
     for start in broken {
         let schedule = bfs(&start, World::successors, World::is_below_floor);
-        println!("below the floor after {} steps", schedule.expect("it is caught").len() - 1);
+        println!(
+            "below the floor after {} steps",
+            schedule.expect("the broken rule is caught").len() - 1
+        );
     }
 }
 
@@ -174,7 +177,8 @@
             Step::Readmit(_) => {
                 let out = (0..SIZE)
                     .find(|i| matches!(self.rotation.endpoints()[*i].state, State::Ejected { .. }));
-                self.rotation.readmit_for_test(self.now, out.expect("the model has one out"));
+                self.rotation
+                    .readmit_for_test(self.now, out.expect("the model has an ejected endpoint"));
             }
             Step::Receive(_) => self.rotation.reconfigure(self.now, &configuration(self.domain, 1)),
             Step::Settle(_) => self.now = self.now + FLOOR_SETTLE_TIME,
--- a/crates/policy/src/tests/incarnations.rs
+++ b/crates/policy/src/tests/incarnations.rs
@@ -69,11 +69,14 @@
     assert!(matches!(it.ask(Time(0), ask(0, true), &mut rng), Reply::Granted(_)));
     let now = Time(0) + SECOND;
     it.reconfigure(now, &after_a_restart(&service), &[TERMS]);
-    assert_eq!(it.evidence_of(now, 0).in_use, 0, "its slots are free again");
+    assert_eq!(it.evidence_of(now, 0).in_use, 0, "the slots are free again");
     // The request that was open fails, whether this or another dispatcher granted its slot.
     it.release(now + SOON, ask(0, true).id, Kind::Failed, SECOND, &mut rng);
     fail(&mut it, now + SOON, &service, SECOND);
     assert_eq!(it.evidence_of(now + SOON, 0).since_failure, None);
     fail(&mut it, now + SECOND, &service, SOON);
-    assert!(it.evidence_of(now + SECOND, 0).since_failure.is_some(), "its own failures count");
+    assert!(
+        it.evidence_of(now + SECOND, 0).since_failure.is_some(),
+        "failures of the new incarnation count"
+    );
 }
--- a/crates/policy/src/tests/rate_limit.rs
+++ b/crates/policy/src/tests/rate_limit.rs
@@ -112,7 +112,7 @@
     let (mut it, mut rng) = dispatcher(&service);
     it.noticed(at(0), NodeId(1), "i-1000", 0, Notice::RateLimit(limit(1.0)));
     let granted = grants(&mut it, &mut rng, 50, 0, 10_000);
-    assert_eq!((granted.len(), it.queued()), (499, 0), "nobody waits for the limited one");
+    assert_eq!((granted.len(), it.queued()), (499, 0), "no request waits for the limited endpoint");
 }
 
 #[test]
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -148,7 +148,7 @@
         .map(|it| bfs_reach(it.clone(), |it| successors(it, next_step)).count())
         .sum();
     println!("{states} states, all that can be reached");
-    assert!(states > 200, "the model has {states} states: too few to mean anything");
+    assert!(states > 200, "the model has {states} states: too few for a meaningful check");
 }
 
 #[test]
--- a/crates/policy/src/tests/suspects.rs
+++ b/crates/policy/src/tests/suspects.rs
@@ -256,7 +256,9 @@
                 self.open.push(Send { id, request, endpoint: i, due, is_unreached });
             }
             Reply::Queued => self.waiting.push((id, request)),
-            Reply::Rejected { .. } => assert_eq!(request, CRASHING, "a harmless one is rejected"),
+            Reply::Rejected { .. } => {
+                assert_eq!(request, CRASHING, "a harmless request is rejected")
+            }
             Reply::Refused { .. } | Reply::Full => {}
         }
     }
