--- a/crates/caller/src/active_slot.rs
+++ b/crates/caller/src/active_slot.rs
@@ -64,7 +64,7 @@
 
     /// The outcome to report when the original send is dropped.
     fn kind_on_drop(&self) -> Kind {
-        if self.0.load(Ordering::Relaxed) { Kind::Beaten } else { Kind::Abandoned }
+        if self.0.load(Ordering::Relaxed) { Kind::LostToHedge } else { Kind::Abandoned }
     }
 }
 
--- a/crates/caller/src/attempt.rs
+++ b/crates/caller/src/attempt.rs
@@ -79,7 +79,7 @@
         SendOrder::First(race) | SendOrder::Further(race) => ActiveSlot::with_race(slot, race),
     };
     let (slot_by, started) = (active_slot.granted_by(), Instant::now());
-    let (tier, health) = (active_slot.grant().tier, active_slot.grant().doubt);
+    let (tier, health) = (active_slot.grant().tier, active_slot.grant().health);
     let span = request.span.child();
     let req = request.upstream_request(&cx.names, &active_slot.grant().endpoint, &span, body);
     let reuse = match request.route.repeat {
--- a/crates/caller/src/notice.rs
+++ b/crates/caller/src/notice.rs
@@ -30,7 +30,7 @@
     if res.status() == StatusCode::SERVICE_UNAVAILABLE {
         match headers::backoff_of(res.headers()) {
             Ok(backoff) => {
-                backoff.into_iter().for_each(|it| active_slot.report_notice(Notice::Rest(it)))
+                backoff.into_iter().for_each(|it| active_slot.report_notice(Notice::Backoff(it)))
             }
             Err(e) => trace::invalid_header(&cx.log, &active_slot.grant().endpoint, &e),
         }
--- a/crates/caller/src/trace.rs
+++ b/crates/caller/src/trace.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http::{HeaderValue, StatusCode};
-use policy::{Doubt, Tier};
+use policy::{HealthEstimate, Tier};
 use slog::{Logger, debug, info, warn};
 
 use crate::answer::GiveUp;
@@ -60,7 +60,7 @@
     pub(crate) endpoint: &'a str,
     pub(crate) slot_by: &'static str,
     pub(crate) tier: Tier,
-    pub(crate) health: Doubt,
+    pub(crate) health: HealthEstimate,
     pub(crate) outcome: &'static str,
     pub(crate) elapsed: Duration,
 }
@@ -79,7 +79,7 @@
                 "request_id" => request.request_id(names), "endpoint" => it.endpoint,
                 "content" => %Hex64(request.key.0), "outcome" => it.outcome,
                 "slot_by" => it.slot_by, "choice" => it.tier.name(),
-                "sick" => f64::from(it.health.sick_permille) / 1e3,
+                "sick" => f64::from(it.health.unhealthy_permille) / 1e3,
                 "evidence_ms" => it.health.evidence_ms, "ms" => it.elapsed.as_millis() as u64,
                 "left_ms" => request.left().as_millis() as u64, "span" => %Hex64(it.span.id),
                 "parent" => %Hex64(it.span.parent))
--- a/crates/caller/tests/in_transit.rs
+++ b/crates/caller/tests/in_transit.rs
@@ -217,7 +217,7 @@
     check(&[staying], PAUSE, expect!["Answered"]).await;
     let asks_for_back_off =
         "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\nretry-after: 2.5\r\n\r\n";
-    check(&[asks_for_back_off], PAUSE, expect!["Rest(2.5s) Shed"]).await;
+    check(&[asks_for_back_off], PAUSE, expect!["Backoff(2.5s) Shed"]).await;
     let invalid_back_off =
         "HTTP/1.1 503 Full\r\ncontent-length: 0\r\nx-not-run: 1\r\nretry-after: x\r\n\r\n";
     check(&[invalid_back_off], PAUSE, expect!["Shed"]).await;
--- a/crates/dappleway/src/control.rs
+++ b/crates/dappleway/src/control.rs
@@ -27,7 +27,7 @@
 use fleet::{Delivery, Directory, Exchange, Keys, PermitClient, Phase, Place, Transport};
 use operator::Published as InForce;
 use policy::{
-    BudgetLimits, Grant, NodeId, PermitId, Reporter, RequestKey, Settled, Time, Topology,
+    BudgetLimits, Grant, NodeId, PermitId, QueuedReply, Reporter, RequestKey, Time, Topology,
     rank_strong_first,
 };
 use rand::RngExt;
@@ -119,7 +119,7 @@
     open_permits: FxHashMap<PermitId, OpenPermit>,
     /// Replies of this node's dispatchers that are not delivered yet. Delivering a reply may free another slot
     /// and so produce the next reply; the queue avoids unbounded recursion.
-    pending_replies: VecDeque<(Scope, Settled)>,
+    pending_replies: VecDeque<(Scope, QueuedReply)>,
     /// Unserved requests since the last tick of the dispatchers, by the hash of each service that could have
     /// served them.
     unserved: FxHashMap<u64, UnservedCounts>,
--- a/crates/dappleway/src/control/allowances.rs
+++ b/crates/dappleway/src/control/allowances.rs
@@ -9,7 +9,7 @@
     OwnerPhase,
 };
 use operator::OrganisationReport;
-use policy::{Decision, Entrusted, NodeId, Time, owner_of, owners};
+use policy::{Decision, Delegation, NodeId, Time, owner_of, owners};
 use resources::{Allowance, Callers, Name};
 use rustc_hash::FxHashMap;
 use slog::{info, warn};
@@ -95,7 +95,7 @@
         from: NodeId,
         seq: u64,
         organisation: u64,
-        delegation: &Entrusted,
+        delegation: &Delegation,
     ) -> Decision {
         let Some(fleet_known_since) = self.fleet_known_since else { return Decision::NotYet };
         let phase = match now.since(fleet_known_since) {
@@ -143,7 +143,7 @@
             }
             // The size of a share depends on the size of the fleet, which is unknown before.
             AllowanceMessage::Delegate(it) if self.allowances.fleet_known_since.is_some() => {
-                self.allowances.owner.buckets.entrust(now, from, &it);
+                self.allowances.owner.buckets.delegate(now, from, &it);
             }
             AllowanceMessage::Delegate(_) => {}
         }
@@ -165,7 +165,7 @@
         if fleet_known_since.is_some() {
             client.fleet_discovered(now, owners);
             let delegation = client.delegation(now, owners, self.me.node);
-            owner.buckets.entrust(now, self.me.node, &delegation);
+            owner.buckets.delegate(now, self.me.node, &delegation);
         }
         for action in client.tick(now, owners) {
             self.perform_allowance_action(now, action);
--- a/crates/dappleway/src/control/own_slots.rs
+++ b/crates/dappleway/src/control/own_slots.rs
@@ -6,7 +6,7 @@
 use caller::{RefusalReason, Refused, SlotRequest};
 use fleet::{Directory, PermitAction, PermitMessage, PermitOutcome, PermitRequest, Place};
 use policy::{
-    Ask, Grant, Kind, NodeId, Notice, Observation, PermitId, Places, Reply, Settled, Time,
+    Ask, DomainFilter, Grant, Kind, NodeId, Notice, Observation, PermitId, QueuedReply, Reply, Time,
 };
 use rand::rngs::StdRng;
 use resources::{Name, Repeat, Route};
@@ -65,12 +65,12 @@
             priority: slot_request.priority,
             organisation: slot_request.organisation,
             weight: slot_request.weight,
-            bulky: slot_request.route.stream,
+            long_answer: slot_request.route.stream,
             send: slot_request.send,
-            brings_part: true,
+            brings_share: true,
             avoid: slot_request.avoid.clone(),
             closed: state.direct.closed(now, self.me.node),
-            places: self.places_of(slot_request),
+            domains: self.domain_filter(slot_request),
             limits: state.direct.received_limits(now),
             left: slot_request.left,
             is_last: slot_request.is_last,
@@ -91,9 +91,9 @@
     }
 
     /// Restrictions on the failure domains that a request may be sent to.
-    fn places_of(&self, slot_request: &SlotRequest) -> Option<Box<Places>> {
+    fn domain_filter(&self, slot_request: &SlotRequest) -> Option<Box<DomainFilter>> {
         let only = slot_request.regions.as_ref().map(|it| self.topology.domains_in(it));
-        Places { evacuated: self.evacuated.clone(), only }.boxed()
+        DomainFilter { evacuated: self.evacuated.clone(), only }.boxed()
     }
 
     pub(super) fn perform(&mut self, now: Time, action: PermitAction) {
@@ -408,7 +408,7 @@
         &mut self,
         place: Place,
         service: u64,
-        f: impl FnOnce(&mut policy::Dispatcher, &mut StdRng) -> Vec<Settled>,
+        f: impl FnOnce(&mut policy::Dispatcher, &mut StdRng) -> Vec<QueuedReply>,
     ) {
         let Some(state) = self.services.get_mut(service) else { return };
         let (scope, dispatcher) = match place {
@@ -428,7 +428,7 @@
     }
 
     /// Delivers a dispatcher's reply to the request that waited for it, on this node or on another one.
-    pub(super) fn deliver_reply(&mut self, now: Time, scope: Scope, it: Settled) {
+    pub(super) fn deliver_reply(&mut self, now: Time, scope: Scope, it: QueuedReply) {
         if it.id.node == self.me.node {
             let place = match scope {
                 Scope::Node => Place::Direct,
--- a/crates/dappleway/src/control/peer_slots.rs
+++ b/crates/dappleway/src/control/peer_slots.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use fleet::{PermitMessage, Place};
-use policy::{Ask, NodeId, Reply, Settled, Time};
+use policy::{Ask, NodeId, QueuedReply, Reply, Time};
 use rand::rngs::StdRng;
 
 use super::{Control, ServingNodes};
@@ -85,7 +85,7 @@
     /// dispatcher that granted the permit recognizes its id, and the others ignore it.
     pub(super) fn for_each_fleet_dispatcher(
         &mut self,
-        f: impl Fn(&mut policy::Dispatcher, &mut StdRng) -> Vec<Settled>,
+        f: impl Fn(&mut policy::Dispatcher, &mut StdRng) -> Vec<QueuedReply>,
     ) {
         let rng = &mut self.rng;
         let mut settled = Vec::new();
--- a/crates/dappleway/src/services.rs
+++ b/crates/dappleway/src/services.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use policy::{
-    BudgetLimits, Change, Dispatcher, NodeId, Notice, Observation, Precedence, Rejection,
-    RequestKey, RouteTerms, RunEnd, Settled, Time, Topology, stable_hash,
+    BudgetLimits, Change, Dispatcher, NodeId, Notice, Observation, Precedence, QueuedReply,
+    Rejection, RequestKey, RouteTerms, RunEnd, Time, Topology, stable_hash,
 };
 use rand::Rng;
 use resources::{Config, Endpoint, Name, Registration, Service};
@@ -180,7 +180,10 @@
         self.collect_output(|it| it.wake(now, rng))
     }
 
-    fn collect_output(&mut self, mut f: impl FnMut(&mut Dispatcher) -> Vec<Settled>) -> TickOutput {
+    fn collect_output(
+        &mut self,
+        mut f: impl FnMut(&mut Dispatcher) -> Vec<QueuedReply>,
+    ) -> TickOutput {
         let mut output = TickOutput::default();
         self.for_each(|hash, scope, it| {
             output.settled.extend(f(it).into_iter().map(|settled| (scope, settled)));
@@ -250,7 +253,7 @@
 #[derive(Debug, Default)]
 pub struct TickOutput {
     /// Replies to requests that waited for a slot.
-    pub settled: Vec<(Scope, Settled)>,
+    pub settled: Vec<(Scope, QueuedReply)>,
     /// State changes of endpoints, with the name hash of their service.
     pub changes: Vec<(u64, Scope, Change)>,
     /// Requests that a dispatcher has started to reject.
--- a/crates/fleet/src/allowances.rs
+++ b/crates/fleet/src/allowances.rs
@@ -8,7 +8,7 @@
 mod client;
 mod owner;
 
-use policy::{Decision, Entrusted};
+use policy::{Decision, Delegation};
 use serde::{Deserialize, Serialize};
 
 pub use client::{AllowanceAction, AllowanceClient, AllowanceOutcome};
@@ -24,7 +24,7 @@
         /// Hash of the organisation's name.
         organisation: u64,
         /// The owners that the sender currently uses.
-        delegation: Entrusted,
+        delegation: Delegation,
     },
     /// Answers an ask.
     Answer {
@@ -34,5 +34,5 @@
         decision: Decision,
     },
     /// Names the owners that the sender currently uses.
-    Delegate(Entrusted),
+    Delegate(Delegation),
 }
--- a/crates/fleet/src/allowances/client.rs
+++ b/crates/fleet/src/allowances/client.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::{Decision, Entrusted, NodeId, Time, owner_of};
+use policy::{Decision, Delegation, NodeId, Time, owner_of};
 use rustc_hash::FxHashMap;
 
 use super::AllowanceMessage;
@@ -39,7 +39,7 @@
         /// Hash of the organisation's name.
         organisation: u64,
         /// The owners that this node uses: itself and others, or itself alone.
-        delegation: Entrusted,
+        delegation: Delegation,
     },
     /// Send a message.
     Send(NodeId, AllowanceMessage),
@@ -117,10 +117,10 @@
     }
 
     /// The delegation that this node sends to an owner.
-    pub fn delegation(&self, now: Time, owners: &[NodeId], to: NodeId) -> Entrusted {
+    pub fn delegation(&self, now: Time, owners: &[NodeId], to: NodeId) -> Delegation {
         let is_first =
             self.first_owners.as_ref().is_some_and(|(it, until)| now < *until && it.contains(&to));
-        Entrusted { owners: owners.to_vec(), life: self.incarnation, is_first }
+        Delegation { owners: owners.to_vec(), incarnation: self.incarnation, is_first }
     }
 
     /// Whether no ask is pending.
--- a/crates/fleet/src/allowances/owner.rs
+++ b/crates/fleet/src/allowances/owner.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::{Buckets, Decision, Entrusted, NodeId, Time};
+use policy::{Buckets, Decision, Delegation, NodeId, Time};
 use resources::Allowance;
 use rustc_hash::FxHashMap;
 
@@ -47,11 +47,11 @@
         from: NodeId,
         seq: u64,
         bucket: (u64, Option<Allowance>),
-        delegation: &Entrusted,
+        delegation: &Delegation,
         phase: OwnerPhase,
     ) -> Decision {
         self.forget(now);
-        self.buckets.entrust(now, from, delegation);
+        self.buckets.delegate(now, from, delegation);
         if let Some((decision, _)) = self.answered.get(&(from, seq)) {
             return *decision;
         }
--- a/crates/fleet/src/permits.rs
+++ b/crates/fleet/src/permits.rs
@@ -312,7 +312,7 @@
         let service = request.service;
         let ask = Ask { left: request.deadline.since(now), ..request.ask.clone() };
         request.ask.send = ask.send.again();
-        let ask = Ask { brings_part: self.carries_budget_share(now, service, place), ..ask };
+        let ask = Ask { brings_share: self.carries_budget_share(now, service, place), ..ask };
         match place {
             Place::Peer(node) => PermitAction::Send(node, PermitMessage::Ask { service, ask }),
             Place::Own => PermitAction::AskHere(place, service, ask),
--- a/crates/fleet/src/tests/allowances.rs
+++ b/crates/fleet/src/tests/allowances.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::{Decision, Entrusted, NodeId, Time, owner_of};
+use policy::{Decision, Delegation, NodeId, Time, owner_of};
 use resources::Allowance;
 
 use crate::{
@@ -131,10 +131,10 @@
     let mut owner = AllowanceOwner::new(ME);
     owner.buckets.set_nodes(ms(0), 1);
     let bucket = (ORGANISATION, Some(ALLOWANCE));
-    let mine = Entrusted { owners: vec![ME], ..Entrusted::default() };
-    owner.buckets.entrust(ms(0), ME, &mine);
+    let mine = Delegation { owners: vec![ME], ..Delegation::default() };
+    owner.buckets.delegate(ms(0), ME, &mine);
     for it in 1..=4 {
-        owner.buckets.entrust(ms(it * 500), ME, &mine);
+        owner.buckets.delegate(ms(it * 500), ME, &mine);
     }
     let mut granted = 0;
     for seq in 0..40 {
@@ -154,7 +154,7 @@
         NodeId(9),
         1,
         (ORGANISATION, None),
-        &Entrusted::default(),
+        &Delegation::default(),
         OwnerPhase::Settled,
     );
     assert_eq!(decision, Decision::Granted);
--- a/crates/fleet/src/tests/wire.rs
+++ b/crates/fleet/src/tests/wire.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use policy::{
-    Ask, Grant, HeardLimit, Kind, NodeId, PermitId, RateLimit, Rejection, Reply, Reporter,
+    Ask, Grant, Kind, NodeId, ObservedLimit, PermitId, RateLimit, Rejection, Reply, Reporter,
     RequestKey, SendKind, Tier,
 };
 use proptest::prelude::*;
@@ -16,9 +16,14 @@
 };
 
 /// A rate limit of the greatest encoded length.
-fn longest_limit() -> HeardLimit {
+fn longest_limit() -> ObservedLimit {
     let limit = RateLimit::from_per_second(f64::MAX).unwrap();
-    HeardLimit { endpoint: longest_info().addr, limit, age_ms: u32::MAX, sent_ms: Some(u32::MAX) }
+    ObservedLimit {
+        endpoint: longest_info().addr,
+        limit,
+        age_ms: u32::MAX,
+        sent_ms: Some(u32::MAX),
+    }
 }
 
 /// A position of the greatest encoded length.
@@ -108,12 +113,12 @@
         priority: Priority(u8::MAX),
         organisation: u64::MAX,
         weight: u32::MAX,
-        bulky: true,
+        long_answer: true,
         send: SendKind::Further,
-        brings_part: true,
+        brings_share: true,
         avoid: vec![longest_info().addr; 16],
         closed: vec![longest_info().addr; Ask::MAX_CLOSED],
-        places: None,
+        domains: None,
         limits: vec![longest_limit(); Ask::MAX_LIMITS],
         left: Duration::MAX,
         is_last: true,
@@ -135,7 +140,7 @@
         hedge_after: Duration::from_millis(30),
         trial: true,
         tier: Tier::Good,
-        doubt: Default::default(),
+        health: Default::default(),
         is_watched: false,
         is_rate_limited: false,
     };
--- a/crates/fleet/tests/allowances_after_a_return.rs
+++ b/crates/fleet/tests/allowances_after_a_return.rs
@@ -14,7 +14,7 @@
     AllowanceAction, AllowanceClient, AllowanceMessage, AllowanceOutcome, AllowanceOwner,
     OwnerPhase,
 };
-use policy::{Decision, Entrusted, NodeId, Time, owners};
+use policy::{Decision, Delegation, NodeId, Time, owners};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use resources::Allowance;
@@ -89,7 +89,7 @@
         to: usize,
         seq: u64,
         organisation: u64,
-        delegation: &Entrusted,
+        delegation: &Delegation,
     ) -> Decision {
         let (now, from) = (Time(self.now), NodeId(from));
         match self.now {
@@ -151,7 +151,7 @@
                 self.send(to as u64, from, AllowanceMessage::Answer { seq, decision });
             }
             AllowanceMessage::Delegate(it) => {
-                self.nodes[to].1.buckets.entrust(now, NodeId(from), &it);
+                self.nodes[to].1.buckets.delegate(now, NodeId(from), &it);
             }
         }
     }
@@ -163,7 +163,7 @@
             let (client, owner) = &mut self.nodes[i];
             client.fleet_discovered(now, &owners);
             let delegation = client.delegation(now, &owners, NodeId(i as u64));
-            owner.buckets.entrust(now, NodeId(i as u64), &delegation);
+            owner.buckets.delegate(now, NodeId(i as u64), &delegation);
         }
         let actions = self.nodes[i].0.tick(now, &owners);
         actions.into_iter().for_each(|it| self.act(i, it));
--- a/crates/fleet/tests/rests.rs
+++ b/crates/fleet/tests/rests.rs
@@ -18,7 +18,7 @@
 /// A third of the endpoints turn all requests away for ten seconds; the others have enough slots.
 fn back_off_scenario() -> Scenario {
     let notice =
-        SentNotice { endpoints: 5, notice: Notice::Rest(BACKOFF), from: FROM, until: UNTIL };
+        SentNotice { endpoints: 5, notice: Notice::Backoff(BACKOFF), from: FROM, until: UNTIL };
     Scenario {
         rate: 3.2,
         slots: 3,
--- a/crates/fleet/tests/virtual_fleet/mod.rs
+++ b/crates/fleet/tests/virtual_fleet/mod.rs
@@ -480,12 +480,12 @@
             priority: Priority(0),
             organisation: 1,
             weight: 1,
-            bulky: false,
+            long_answer: false,
             send,
-            brings_part: true,
+            brings_share: true,
             avoid: Vec::new(),
             closed: self.nodes[i].direct.closed(self.now(), id.node),
-            places: None,
+            domains: None,
             limits: self.nodes[i].direct.received_limits(self.now()),
             left: REQUEST_TIMEOUT,
             is_last: false,
@@ -624,7 +624,7 @@
         if reached > 0 {
             self.repeats.push(self.now);
         }
-        let is_rejected = matches!(self.current_notice(endpoint), Some(Notice::Rest(_)));
+        let is_rejected = matches!(self.current_notice(endpoint), Some(Notice::Backoff(_)));
         let event = match self.now >= self.scenario.fails_from || is_rejected {
             true => Event::Failed { node: i, id, place },
             false => Event::Began { node: i, id, place },
@@ -665,7 +665,7 @@
         if sent_notice.is_some() {
             self.first_notices.entry((i, open.endpoint)).or_insert(self.now);
         }
-        if matches!(sent_notice, Some(Notice::Rest(_))) {
+        if matches!(sent_notice, Some(Notice::Backoff(_))) {
             self.backoff_requests.push((self.now, i, open.endpoint));
         }
         let limit_ended = open.is_rate_limited.then_some(Notice::RateLimit(None));
--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -1,7 +1,7 @@
-//! What is normal for a service: how long its answers take and how often they are bad.
+//! The normal behaviour of a service: how long its answers take and how often outcomes are bad.
 //!
-//! Both are pooled over the endpoints that are in good standing, and decay, so that an endpoint is
-//! always compared with its siblings of the last seconds.
+//! Both are pooled over the endpoints in good standing and decay with time, so that an endpoint is
+//! always compared with its siblings over the last seconds.
 
 mod latency;
 
@@ -11,27 +11,28 @@
 
 use crate::class::Class;
 use crate::observation::Kind;
-use latency::{Latency, PRIOR_FAILS};
+use latency::{Latency, PRIOR_FAILURE_RATE};
 
-/// A request is stalled when it is open for this many late thresholds. With three, a request that
-/// hangs is noticed after the deadlines of the users' routes.
+/// A request is stalled when it has been open for this many late thresholds. With three, a hanging
+/// request was noticed only after the deadlines of the operators' routes.
 const STALL_FACTOR: u32 = 2;
-/// A route on which so many healthy requests are still open tells nothing by silence.
-const USUALLY_OPEN: f64 = 0.25;
+/// On a route where more than this share of healthy requests is still open at some age, an open
+/// request of that age is no evidence.
+const MAX_STILL_OPEN: f64 = 0.25;
 /// Late threshold of a route that this node does not know yet.
-const LATE_ON_UNKNOWN: Duration = Duration::from_millis(600);
+const UNKNOWN_LATE_AFTER: Duration = Duration::from_millis(600);
 
-/// Weight of prior knowledge, in samples.
-const PRIOR: f64 = 400.0;
-/// Prior shares of late, stalled, failed and shed answers.
+/// Weight of the prior shares, in samples.
+const PRIOR_SAMPLES: f64 = 400.0;
+/// Prior shares of late, stalled, failed and shed outcomes.
 const PRIOR_SHARE: [f64; 4] = [0.02, 0.0005, 0.002, 0.05];
-/// Lowest share that is believed, whatever was counted.
+/// Lower bounds of the estimated shares.
 const MIN_SHARE: [f64; 4] = [0.015, 0.0005, 0.001, 0.01];
 
-/// Counts of good, late, stalled, failed and shed outcomes; addition merges them.
+/// Counts of good, late, stalled, failed and shed outcomes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Tally {
-    /// Whole answers in time.
+    /// Complete answers in time.
     good: f64,
     /// Late, stalled, failed and shed outcomes.
     bad: [f64; 4],
@@ -63,14 +64,14 @@
     }
 }
 
-/// What is to be known of a route that leads to a service.
+/// Terms of a route that leads to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteTerms {
     /// Hash of the route's name.
     pub id: u32,
-    /// Time within which an answer is worth most to the caller.
+    /// The route's objective: answers that take longer are of less use to the caller.
     pub objective: Duration,
-    /// Part of the route's requests that come to this service; the others go to other services.
+    /// Share of the route's requests that this service receives; the others go to other services.
     pub share: f64,
 }
 
@@ -84,18 +85,18 @@
 impl Baseline {
     /// Answers of the route that take longer than this are late.
     pub(crate) fn late_after(&self, route: u32) -> Duration {
-        self.routes.get(&route).map_or(LATE_ON_UNKNOWN, |it| it.late_after)
+        self.routes.get(&route).map_or(UNKNOWN_LATE_AFTER, |it| it.late_after)
     }
 
-    /// Share of the route's healthy requests that are still open after `elapsed`. Until enough answers
-    /// are known it rests on the objective.
+    /// Share of the route's healthy requests that are still open after `elapsed`. Before enough
+    /// answers are known, the objective determines the result.
     pub(crate) fn still_open(&self, route: u32, elapsed: Duration) -> f64 {
         self.routes.get(&route).map_or(1.0, |it| it.still_open(elapsed))
     }
 
-    /// Share of the route's requests that fail at well endpoints.
-    pub(crate) fn fails(&self, route: u32) -> f64 {
-        self.routes.get(&route).map_or(PRIOR_FAILS, Latency::fails)
+    /// Share of the route's requests that fail at healthy endpoints.
+    pub(crate) fn failure_rate(&self, route: u32) -> f64 {
+        self.routes.get(&route).map_or(PRIOR_FAILURE_RATE, Latency::failure_rate)
     }
 
     /// Requests of the route that are open for longer than this are stalled.
@@ -105,19 +106,19 @@
 
     /// Requests of the route that are open for longer than this are hedged.
     pub(crate) fn hedge_after(&self, route: u32) -> Duration {
-        self.routes.get(&route).map_or(LATE_ON_UNKNOWN, |it| it.hedge_after)
+        self.routes.get(&route).map_or(UNKNOWN_LATE_AFTER, |it| it.hedge_after)
     }
 
-    /// The class of an outcome; nothing for a request that was abandoned before it was late.
+    /// The class of an outcome, or `None` if the outcome is no evidence.
     pub(crate) fn class_of(&self, kind: Kind, route: u32, elapsed: Duration) -> Option<Class> {
         let is_late = elapsed > self.late_after(route);
         let is_silence = matches!(kind, Kind::Stalled | Kind::TimedOut | Kind::Abandoned);
-        if is_silence && self.still_open(route, elapsed) > USUALLY_OPEN {
+        if is_silence && self.still_open(route, elapsed) > MAX_STILL_OPEN {
             return None;
         }
         match kind {
             Kind::Answered if !is_late => Some(Class::Good),
-            Kind::Answered | Kind::Beaten => Some(Class::Late),
+            Kind::Answered | Kind::LostToHedge => Some(Class::Late),
             Kind::TimedOut if elapsed > self.stall_after(route) => Some(Class::Stalled),
             Kind::Abandoned | Kind::TimedOut => is_late.then_some(Class::Late),
             Kind::Stalled => Some(Class::Stalled),
@@ -128,14 +129,14 @@
 
     /// Normal shares of late, stalled, failed and shed outcomes.
     pub(crate) fn shares(&self) -> [f64; 4] {
-        let total = self.tally.total() + PRIOR;
+        let total = self.tally.total() + PRIOR_SAMPLES;
         std::array::from_fn(|i| {
-            let share = (self.tally.bad[i] + PRIOR * PRIOR_SHARE[i]) / total;
+            let share = (self.tally.bad[i] + PRIOR_SAMPLES * PRIOR_SHARE[i]) / total;
             share.max(MIN_SHARE[i])
         })
     }
 
-    /// Keeps the latencies of the routes that still exist.
+    /// Applies a new set of routes and keeps what is known of those that remain.
     pub(crate) fn retain_routes(&mut self, routes: &[RouteTerms]) {
         self.routes.retain(|id, _| routes.iter().any(|it| it.id == *id));
         for it in routes {
@@ -153,26 +154,26 @@
         }
     }
 
-    /// Adds a request without an answer, with the probability that its endpoint is well.
-    pub(crate) fn add_unanswered(&mut self, route: u32, elapsed: Duration, well: f64) {
+    /// Adds an unanswered request, weighted by the probability that its endpoint is healthy.
+    pub(crate) fn add_unanswered(&mut self, route: u32, elapsed: Duration, p_healthy: f64) {
         if let Some(latency) = self.routes.get_mut(&route) {
-            latency.add_unanswered(elapsed, well);
+            latency.add_unanswered(elapsed, p_healthy);
         }
     }
 
-    /// Adds a request that failed, with the probability that its endpoint is well.
-    pub(crate) fn add_failed(&mut self, route: u32, well: f64) {
+    /// Adds a failed request, weighted by the probability that its endpoint is healthy.
+    pub(crate) fn add_failed(&mut self, route: u32, p_healthy: f64) {
         if let Some(latency) = self.routes.get_mut(&route) {
-            latency.add_failed(well);
+            latency.add_failed(p_healthy);
         }
     }
 
-    /// Takes one outcome out again.
+    /// Removes one outcome.
     pub(crate) fn remove(&mut self, class: Class) {
         self.tally.remove(class);
     }
 
-    /// Decays the counts by `keep` and derives the late thresholds anew.
+    /// Decays the counts by the factor `keep` and recomputes the late thresholds.
     pub(crate) fn refresh(&mut self, keep: f64) {
         self.tally.decay(keep);
         self.routes.values_mut().for_each(|it| it.refresh(keep));
--- a/crates/policy/src/budget/credit.rs
+++ b/crates/policy/src/budget/credit.rs
@@ -1,33 +1,37 @@
-//! What first sends have earned for repeats and nobody has spent yet, at one granting node.
+//! Repeats earned by first sends and not yet spent, at one granting node.
 //!
-//! Each first send earns a share of a repeat at one node, to be spent there once and soon; the fixed part accrues with
-//! time. None of it outlives its process. So the repeats of a window are no more than what was earned in it and a
-//! moment before it, whoever grants them: after a change of the granting node, in a fleet in parts, after restarts.
+//! Each first send earns a fraction of a repeat at one node, which has to be spent there within a
+//! short time. Credit from the fixed part accrues with time. No credit survives a restart of its
+//! process. The repeats of a window are therefore limited by the credit earned within it and
+//! shortly before it, whichever nodes grant them: after a change of the granting node, in a
+//! partitioned fleet and after restarts.
 //!
-//! A count of the window alone does not give that, because only the node that counted knows it: with one change
-//! of the granting node in the middle of need 1,036 repeats went out where 641 are allowed, with a restart of all
-//! 1,026 (`fleet/tests/repeats.rs`).
+//! A count of the window alone does not have this property, because it is known only to the node
+//! that counted: a change of the granting node while repeats were needed led to 1,036 repeats where
+//! 641 are allowed, a restart of all nodes to 1,026 (`fleet/tests/repeats.rs`).
 
 use std::time::Duration;
 
 use super::window::slice_number;
-use super::{Balance, BudgetLimits, RATIO_PART};
+use super::{Balance, BudgetLimits, RATIO_FRACTION};
 use crate::time::Time;
 
-/// Part of the window for which an earned share lasts. With the part of the ratio that is used, the repeats of a
-/// window stay within the ratio.
-const LIFETIME_PART: u32 = 10;
-/// Slices of the lifetime that are kept apart.
+/// Lifetime of earned credit, as a divisor of the window. Together with [`RATIO_FRACTION`], it keeps
+/// the repeats of a window within the ratio.
+const LIFETIME_DIVISOR: u32 = 10;
+/// Number of slices of the lifetime that are counted separately.
 const SLICES: usize = 5;
-/// Part of the fixed bound that accrues in a window.
-const EXTRA_ACCRUES: f64 = 0.4;
-/// Part of the fixed bound that may lie ready. A window can hold this and what accrues in it.
-const EXTRA_READY: f64 = 0.3;
-/// Part of the fixed bound that a node brings along when it gives its part to this one, so that a service that has
-/// just started is not without. What the other two leave pays for seven starts of the whole fleet in a window.
-const EXTRA_BROUGHT: f64 = 0.04;
+/// Fraction of the fixed part that accrues in a window.
+const EXTRA_ACCRUAL: f64 = 0.4;
+/// Fraction of the fixed part that can be accumulated. A window can hold this amount and the one
+/// that accrues in it.
+const EXTRA_CAPACITY: f64 = 0.3;
+/// Fraction of the fixed part that a node's share contributes at once when the node assigns the
+/// share to this one, so that a recently started service can repeat. What the other two fractions
+/// leave covers seven restarts of the whole fleet in a window.
+const EXTRA_INITIAL: f64 = 0.04;
 
-/// What was earned in one slice, and what is left of it.
+/// The credit earned in one slice, and what is left of it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: u64,
@@ -35,7 +39,7 @@
     left: f64,
 }
 
-/// Earned and not spent.
+/// Credit that has been earned and not spent.
 #[derive(Clone, Debug)]
 pub(super) struct Credit {
     lifetime: Duration,
@@ -43,74 +47,76 @@
     extra: Extra,
 }
 
-/// The fixed part, at the moment when it was last worked out.
+/// The credit from the fixed part, as of `at`.
 #[derive(Clone, Copy, Debug)]
 struct Extra {
     at: Time,
     /// What would be left if nothing had been spent.
-    ready: f64,
+    available: f64,
     left: f64,
 }
 
 impl Credit {
     pub(super) fn new(now: Time, window: Duration) -> Self {
-        let lifetime = window / LIFETIME_PART;
+        let lifetime = window / LIFETIME_DIVISOR;
         Self {
             lifetime,
             slices: Default::default(),
-            extra: Extra { at: now, ready: 0.0, left: 0.0 },
+            extra: Extra { at: now, available: 0.0, left: 0.0 },
         }
     }
 
-    /// A first send earns its share.
+    /// Adds the credit for a first send.
     pub(super) fn earn(&mut self, now: Time, limits: &BudgetLimits) {
         let number = self.number(now);
         let it = &mut self.slices[(number % SLICES as u64) as usize];
         if it.number != number {
             *it = Slice { number, ..Slice::default() };
         }
-        it.earned += limits.ratio * RATIO_PART;
-        it.left += limits.ratio * RATIO_PART;
+        it.earned += limits.ratio * RATIO_FRACTION;
+        it.left += limits.ratio * RATIO_FRACTION;
     }
 
-    /// Lets the fixed part accrue, of which `part` is spent here.
-    pub(super) fn accrue(&mut self, now: Time, limits: &BudgetLimits, part: f64) {
-        self.extra = self.extra.after(now, limits, part);
+    /// Lets the credit from the fixed part accrue; `fraction` is the share of the fixed part that is
+    /// spent here.
+    pub(super) fn accrue(&mut self, now: Time, limits: &BudgetLimits, fraction: f64) {
+        self.extra = self.extra.after(now, limits, fraction);
     }
 
-    /// The part of the fixed bound that is spent here grows by `more`.
-    pub(super) fn bring(&mut self, limits: &BudgetLimits, more: f64) {
-        let brought = limits.extra * EXTRA_BROUGHT * more;
-        self.extra.ready += brought;
-        self.extra.left += brought;
+    /// Applies that the fraction of the fixed part spent here grows by `increase`.
+    pub(super) fn add_initial(&mut self, limits: &BudgetLimits, increase: f64) {
+        let initial = limits.extra * EXTRA_INITIAL * increase;
+        self.extra.available += initial;
+        self.extra.left += initial;
     }
 
-    /// What could be spent now if nothing had been, and how much of that is.
-    pub(super) fn balance(&self, now: Time, limits: &BudgetLimits, part: f64) -> Balance {
-        let earned: f64 = self.lasting(now).map(|it| it.earned).sum();
-        let left: f64 = self.lasting(now).map(|it| it.left).sum();
-        let extra = self.extra.after(now, limits, part);
-        let allowed = earned + extra.ready;
+    /// The credit that would be available if nothing had been spent, and how much of it is spent.
+    pub(super) fn balance(&self, now: Time, limits: &BudgetLimits, fraction: f64) -> Balance {
+        let earned: f64 = self.unexpired(now).map(|it| it.earned).sum();
+        let left: f64 = self.unexpired(now).map(|it| it.left).sum();
+        let extra = self.extra.after(now, limits, fraction);
+        let allowed = earned + extra.available;
         Balance { allowed, spent: allowed - left - extra.left }
     }
 
-    /// Pays for one repeat: what ends soonest goes first.
+    /// Pays for one repeat; the credit that expires first is used first.
     pub(super) fn spend(&mut self, now: Time) {
         let oldest = self.number(now).saturating_sub(SLICES as u64 - 1);
-        let mut due = 1.0;
+        let mut owed = 1.0;
         for number in oldest..oldest + SLICES as u64 {
             let it = &mut self.slices[(number % SLICES as u64) as usize];
             if it.number == number {
-                let paid = it.left.min(due);
+                let paid = it.left.min(owed);
                 it.left -= paid;
-                due -= paid;
+                owed -= paid;
             }
         }
-        self.extra.left -= due;
+        self.extra.left -= owed;
     }
 
-    /// Slices that still last. The present one is not full, so that a share lasts for a slice less at most.
-    fn lasting(&self, now: Time) -> impl Iterator<Item = &Slice> {
+    /// Slices that have not expired. The current slice is not complete, so that credit expires up
+    /// to one slice early.
+    fn unexpired(&self, now: Time) -> impl Iterator<Item = &Slice> {
         let number = self.number(now);
         self.slices.iter().filter(move |it| it.number + SLICES as u64 > number)
     }
@@ -121,11 +127,12 @@
 }
 
 impl Extra {
-    fn after(self, now: Time, limits: &BudgetLimits, part: f64) -> Self {
+    /// The credit at `now`.
+    fn after(self, now: Time, limits: &BudgetLimits, fraction: f64) -> Self {
         let windows = now.since(self.at).as_secs_f64() / limits.window.as_secs_f64();
-        let accrued = limits.extra * EXTRA_ACCRUES * part * windows;
-        let most = limits.extra * EXTRA_READY * part;
-        let ready = (self.ready + accrued).min(most);
-        Self { at: now, ready, left: (self.left + accrued).min(ready) }
+        let accrued = limits.extra * EXTRA_ACCRUAL * fraction * windows;
+        let capacity = limits.extra * EXTRA_CAPACITY * fraction;
+        let available = (self.available + accrued).min(capacity);
+        Self { at: now, available, left: (self.left + accrued).min(available) }
     }
 }
--- a/crates/policy/src/dispatcher.rs
+++ b/crates/policy/src/dispatcher.rs
@@ -26,19 +26,19 @@
 use rustc_hash::FxHashMap;
 
 use crate::baseline::RouteTerms;
-use crate::belief::{ALONE_AFTER, Strain};
+use crate::belief::{PROBE_AFTER, Pressure};
 use crate::budget::{Budget, BudgetLimits, RepeatsReport, Spend};
-use crate::judge::Judge;
+use crate::likelihoods::Likelihoods;
 use crate::observation::{Kind, Observation, Reporter};
-use crate::permit::{Ask, Grant, PermitId, Reply, SendKind, Settled, Tier};
+use crate::outlier::OutlierDetector;
+use crate::permit::{Ask, Grant, PermitId, QueuedReply, Reply, SendKind, Tier};
 use crate::queue::Queue;
 use crate::rate_limit::RateLimit;
-use crate::rotation::{Change, EndpointStatus, Lives, Rotation, State};
-use crate::served::{Ending, Served};
-use crate::signs::Signs;
+use crate::rotation::{Change, EndpointStatus, Incarnations, Rotation, State};
 use crate::suspects::{RequestKey, Suspects};
 use crate::time::Time;
 use crate::topology::Topology;
+use crate::unserved::{Completion, UnservedShare};
 use advertised::LapsedEndpoints;
 use congestion::Congestion;
 use load::EndpointLoad;
@@ -136,8 +136,8 @@
 /// Slots, health estimates and verdicts of one service on one node.
 #[derive(Debug)]
 pub struct Dispatcher {
-    detector: Judge,
-    likelihoods: Signs,
+    detector: OutlierDetector,
+    likelihoods: Likelihoods,
     /// Time of the last refresh of `likelihoods`.
     likelihoods_refreshed: Time,
     /// Same order as the endpoints of the rotation.
@@ -158,7 +158,7 @@
     /// Total of refused repeats at the last call of `newly_refused`.
     refusals_reported: u64,
     /// Outcomes of the service's requests, from which `pressure` is derived.
-    unserved: Served,
+    unserved: UnservedShare,
     /// Requests during which endpoints have crashed.
     suspects: Suspects,
     /// Whether queued requests may have been rejected since the queue was last checked.
@@ -168,7 +168,7 @@
     /// Time of the last grant.
     last_grant: Option<Time>,
     /// Whether so many requests fail that endpoints are tried again sooner, as of the last choice.
-    pressure: Strain,
+    pressure: Pressure,
     /// Idle time after which an endpoint is due for a probe request, and when this value was
     /// computed.
     probe_after: (Duration, Time),
@@ -199,8 +199,8 @@
     /// Creates a dispatcher for `service`. `routes` are the routes that lead to it.
     pub fn new(now: Time, service: &Service, routes: &[RouteTerms], budget: BudgetLimits) -> Self {
         let mut it = Self {
-            detector: Judge::new(now, service, routes),
-            likelihoods: Signs::default(),
+            detector: OutlierDetector::new(now, service, routes),
+            likelihoods: Likelihoods::default(),
             likelihoods_refreshed: now,
             loads: service
                 .endpoints
@@ -216,14 +216,14 @@
             congestion: Congestion::default(),
             budget: Budget::new(now, budget),
             refusals_reported: 0,
-            unserved: Served::default(),
+            unserved: UnservedShare::default(),
             suspects: Suspects::default(),
             has_new_rejections: false,
             overlap: Overlap::default(),
             counts: DispatchCounts::default(),
             last_grant: None,
-            pressure: Strain::None,
-            probe_after: (ALONE_AFTER, now),
+            pressure: Pressure::None,
+            probe_after: (PROBE_AFTER, now),
             working_set: WorkingSet::default(),
             rate: Rate::default(),
             elsewhere_ratios: elsewhere_ratios(routes),
@@ -273,7 +273,7 @@
     /// Applies a new configuration or a change of the endpoints. Permits on endpoints that stay are
     /// kept; permits on a restarted endpoint ended with its previous incarnation.
     pub fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
-        let before = Lives::of(self.endpoints());
+        let before = Incarnations::of(self.endpoints());
         self.detector.reconfigure(now, service, routes);
         self.floor_share = floor_share(service);
         self.cold_rate = cold_rate(service);
@@ -329,8 +329,8 @@
             return Reply::Rejected { retry_after };
         }
         self.take_over_limits(now, &ask);
-        if ask.brings_part {
-            self.budget.hold_part(now, ask.reporter.node);
+        if ask.brings_share {
+            self.budget.hold_share(now, ask.reporter.node);
         }
         match ask.send {
             SendKind::First => {
@@ -346,7 +346,7 @@
             SendKind::Further if !ask.wait => return Reply::Full,
             SendKind::Further => {
                 self.counts.repeats_refused += 1;
-                self.unserved.note(now, Ending::Unserved);
+                self.unserved.note(now, Completion::Unserved);
                 return Reply::Refused { retry_after: self.mean_hold.max(MIN_RETRY_AFTER) };
             }
         }
@@ -398,7 +398,7 @@
         kind: Kind,
         elapsed: Duration,
         rng: &mut impl Rng,
-    ) -> Vec<Settled> {
+    ) -> Vec<QueuedReply> {
         let Some(permit) = self.permits.remove(&id) else { return Vec::new() };
         self.counts.released += 1;
         self.ended.insert(id, now);
@@ -420,7 +420,7 @@
 
     /// Withdraws a queued ask, or takes a slot back without learning anything from its request, for
     /// example when the caller has left.
-    pub fn cancel(&mut self, now: Time, id: PermitId, rng: &mut impl Rng) -> Vec<Settled> {
+    pub fn cancel(&mut self, now: Time, id: PermitId, rng: &mut impl Rng) -> Vec<QueuedReply> {
         let withdrawn = self.queue.extract(|it| it.item.id == id);
         self.counts.withdrawn += withdrawn.len() as u32;
         self.note_unserved(now, withdrawn.len());
@@ -452,7 +452,7 @@
 
     /// Advances everything that depends on time alone and returns replies for queued requests.
     /// Nearly free for an idle service, because a node has a dispatcher for every service.
-    pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
+    pub fn tick(&mut self, now: Time, rng: &mut impl Rng) -> Vec<QueuedReply> {
         let is_idle = self.permits.is_empty() && self.ended.is_empty() && self.queue.len() == 0;
         if is_idle && self.detector.is_idle() {
             return Vec::new();
@@ -479,8 +479,8 @@
     }
 
     /// After a pause of this process: forgets evidence, and ends what has expired in the meantime.
-    pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
-        self.detector.forget();
+    pub fn wake(&mut self, now: Time, rng: &mut impl Rng) -> Vec<QueuedReply> {
+        self.detector.discard_evidence();
         self.tick(now, rng)
     }
 
@@ -536,7 +536,7 @@
             addr: it.addr,
             stall_after: self.detector.baseline.stall_after(ask.route),
             hedge_after: self.detector.baseline.hedge_after(ask.route),
-            doubt: self.health_estimate(now, endpoint),
+            health: self.health_estimate(now, endpoint),
             trial: tier == Tier::Trial || matches!(it.state, State::Trial { .. }),
             tier,
             is_watched: self.suspects.is_watched(ask.request),
--- a/crates/policy/src/dispatcher/advertised.rs
+++ b/crates/policy/src/dispatcher/advertised.rs
@@ -5,7 +5,7 @@
 use resources::Name;
 use rustc_hash::FxHashMap;
 
-use crate::rate_limit::Pace;
+use crate::rate_limit::Pacer;
 use crate::rendezvous::NodeId;
 use crate::time::Time;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Advertised {
     /// Rate limit, and the pacing of sends under it.
-    pub(super) pacer: Pace,
+    pub(super) pacer: Pacer,
     /// Whether the endpoint has announced that it is leaving.
     pub(super) is_leaving: bool,
     pub(super) backoffs: Backoffs,
--- a/crates/policy/src/dispatcher/choice.rs
+++ b/crates/policy/src/dispatcher/choice.rs
@@ -8,8 +8,10 @@
 use super::idle::{IdleCandidate, probe_after};
 use super::load::EndpointLoad;
 use super::working_set::Spread;
-use crate::belief::{Belief, IDLE_AFTER, MISSED_AFTER, SILENCE_FAILS, Strain, TRY_AGAIN, Use};
-use crate::permit::{Ask, Doubt, SendKind, Tier};
+use crate::belief::{
+    Belief, IDLE_AFTER_FAILURE, Pressure, RETRY_FAILED_AFTER, SILENCE_RATIO, STARVED_AFTER, Use,
+};
+use crate::permit::{Ask, HealthEstimate, SendKind, Tier};
 use crate::rotation::State;
 use crate::time::Time;
 use crate::topology::Distance;
@@ -61,7 +63,7 @@
     /// Position in the rotation.
     i: usize,
     now: Time,
-    pressure: Strain,
+    pressure: Pressure,
     spread: Spread,
     addr: SocketAddr,
     state: State,
@@ -148,14 +150,14 @@
     /// floor counts endpoints of all failure domains alike, so distance does not matter for a
     /// starved endpoint.
     fn is_starved(&self, ask: &Ask, distance: Distance) -> bool {
-        self.idle > MISSED_AFTER && self.is_due(ask, distance)
+        self.idle > STARVED_AFTER && self.is_due(ask, distance)
     }
 
     fn usage(&self) -> Use {
-        if self.silence_ratio > SILENCE_FAILS {
+        if self.silence_ratio > SILENCE_RATIO {
             return Use::Last;
         }
-        self.belief.usage_if(self.p_unhealthy, self.now, self.pressure)
+        self.belief.usage_at(self.p_unhealthy, self.now, self.pressure)
     }
 
     /// Whether an ejected endpoint is tried nevertheless, with one request at a time, because a
@@ -163,11 +165,11 @@
     fn is_tried_while_ejected(&self) -> bool {
         let is_out = matches!(self.state, State::Ejected { .. })
             && !self.is_evacuated
-            && self.now.since(self.state_since) > TRY_AGAIN;
+            && self.now.since(self.state_since) > RETRY_FAILED_AFTER;
         // Unhealthy endpoints fail at once; without a pause they would be tried again and again.
         is_out
-            && self.pressure == Strain::Unserved
-            && self.belief.failed_before(self.now, TRY_AGAIN)
+            && self.pressure == Pressure::Unserved
+            && self.belief.failed_before(self.now, RETRY_FAILED_AFTER)
     }
 
     /// Slots that may be used now: one until there is evidence that the endpoint is healthy again.
@@ -192,7 +194,7 @@
     /// answered although it is healthy. Repeatable work loses little by trying.
     fn may_use_all_slots(&self, ask: &Ask, distance: Distance) -> bool {
         self.is_starved(ask, distance)
-            && self.pressure == Strain::Unserved
+            && self.pressure == Pressure::Unserved
             && ask.repeatable
             && self.state.in_rotation()
     }
@@ -212,10 +214,10 @@
         if self.spread == Spread::WorkingSet {
             return false;
         }
-        let usage = self.belief.usage_if(self.p_unhealthy, self.now, Strain::None);
+        let usage = self.belief.usage_at(self.p_unhealthy, self.now, Pressure::None);
         matches!(usage, Use::Last | Use::Cautiously)
-            && self.belief.failed_before(self.now, TRY_AGAIN)
-            && self.silence_ratio <= SILENCE_FAILS
+            && self.belief.failed_before(self.now, RETRY_FAILED_AFTER)
+            && self.silence_ratio <= SILENCE_RATIO
     }
 
     /// Health rank among endpoints of one tier, compared before slots and distance; lower is
@@ -287,7 +289,10 @@
                 continue;
             }
             let is_closed = load.advertised.is_closed_to(now, ask.reporter.node);
-            if is_closed || ask.bars(load.failure_domain) || ask.closed.contains(&candidate.addr) {
+            if is_closed
+                || ask.excludes(load.failure_domain)
+                || ask.closed.contains(&candidate.addr)
+            {
                 continue;
             }
             let Some(tier) = self.tier(candidate, ask, distance) else { continue };
@@ -354,7 +359,7 @@
     /// Refreshes the inputs that all choices at this moment share.
     pub(super) fn refresh_inputs(&mut self, now: Time) {
         self.is_budget_short = self.budget.is_short(now);
-        self.pressure = self.unserved.strain(now);
+        self.pressure = self.unserved.pressure(now);
         self.update_spread(now);
         self.refresh_probe_after(now);
     }
@@ -362,14 +367,14 @@
     /// Computes the idle time after which endpoints are due for a probe: several times a second in
     /// steady state, and on every call under pressure or while requests are queued.
     fn refresh_probe_after(&mut self, now: Time) {
-        if self.pressure != Strain::None || self.queue.len() > 0 {
-            self.probe_after = (self.pressure.idle_for(), now);
+        if self.pressure != Pressure::None || self.queue.len() > 0 {
+            self.probe_after = (self.pressure.probe_after(), now);
         } else if now.since(self.probe_after.1) >= PROBE_REFRESH {
             let endpoints = self.endpoints().iter().zip(&self.loads);
             let expected = endpoints.filter(|(it, _)| it.is_expected());
             let idle_candidates = expected.map(|(status, load)| IdleCandidate {
                 idle: load.idle(now),
-                may_be_healthy: load.belief.failed_before(now, IDLE_AFTER),
+                may_be_healthy: load.belief.failed_before(now, IDLE_AFTER_FAILURE),
                 is_settled: load.age(now) > SETTLED_AFTER,
                 is_in_rotation: status.state.in_rotation(),
             });
@@ -378,10 +383,10 @@
     }
 
     /// Health estimate of an endpoint, for a grant.
-    pub(super) fn health_estimate(&self, now: Time, i: usize) -> Doubt {
+    pub(super) fn health_estimate(&self, now: Time, i: usize) -> HealthEstimate {
         let candidate = self.candidate(now, i);
-        Doubt {
-            sick_permille: (candidate.p_unhealthy * 1e3) as u16,
+        HealthEstimate {
+            unhealthy_permille: (candidate.p_unhealthy * 1e3) as u16,
             evidence_ms: candidate.belief.evidence_age(now).as_millis() as u32,
         }
     }
@@ -406,7 +411,11 @@
             idle: load.idle_or_age(now),
             rate_limited_slots: load.advertised.pacer.slots(now, self.mean_hold),
             may_send: load.advertised.pacer.allows(now, self.sharers(load)),
-            p_unhealthy: load.belief.sick_given(now, silence_ratio, self.likelihoods.share()),
+            p_unhealthy: load.belief.p_unhealthy_given(
+                now,
+                silence_ratio,
+                self.likelihoods.p_unhealthy(),
+            ),
         }
     }
 
@@ -421,11 +430,11 @@
             return if load.is_due_for_introduction(now) { ProbeDue::ForAny } else { ProbeDue::No };
         }
         let Some(idle) = load.idle(now) else { return ProbeDue::ForAny };
-        let may_have_recovered = load.belief.failed_before(now, self.pressure.alone_for());
+        let may_have_recovered = load.belief.failed_before(now, self.pressure.retry_failed_after());
         match if distance == Distance::Near { idle + NEAR_PROBE_LEAD } else { idle } {
             _ if !may_have_recovered => ProbeDue::No,
             it if it > self.probe_after.0 => ProbeDue::ForAny,
-            it if it > self.pressure.idle_for() => ProbeDue::ForRepeatable,
+            it if it > self.pressure.probe_after() => ProbeDue::ForRepeatable,
             _ => ProbeDue::No,
         }
     }
@@ -442,8 +451,8 @@
         // A trial exists to find out whether the failures have ended, so it ignores the estimate.
         let is_on_trial = matches!(candidate.state, State::Trial { .. });
         let usage = if is_on_trial { Use::Freely } else { candidate.usage() };
-        let is_suspect =
-            candidate.state == State::Suspect && now.since(candidate.state_since) < TRY_AGAIN;
+        let is_suspect = candidate.state == State::Suspect
+            && now.since(candidate.state_since) < RETRY_FAILED_AFTER;
         let is_out_of_use = candidate.is_missing
             || now < load.hinted_until
             || now < load.full_until
@@ -451,19 +460,20 @@
         let is_last_resort = is_suspect || usage == Use::Last || is_out_of_use;
         // Repeatable work loses little by testing whether an endpoint has recovered, and a
         // recovered endpoint is unused capacity until a request tries it.
-        let may_start_trial = !is_out_of_use && !self.is_last_send(ask) && (is_near || !ask.bulky);
+        let may_start_trial =
+            !is_out_of_use && !self.is_last_send(ask) && (is_near || !ask.long_answer);
         match usage {
             _ if ask.avoid.contains(&candidate.addr) => Some(Tier::Avoided),
             _ if is_on_trial && is_last_resort => None,
             _ if may_start_trial && candidate.is_due_for_trial() => Some(Tier::Trial),
-            _ if is_on_trial && ask.repeatable && !ask.bulky => Some(Tier::Trial),
+            _ if is_on_trial && ask.repeatable && !ask.long_answer => Some(Tier::Trial),
             _ if candidate.may_use_all_slots(ask, distance) && !is_out_of_use => Some(Tier::Good),
-            _ if is_last_resort && ask.bulky && is_near && !self.is_last_send(ask) => {
+            _ if is_last_resort && ask.long_answer && is_near && !self.is_last_send(ask) => {
                 Some(Tier::Near)
             }
             _ if is_last_resort => Some(Tier::Last),
             _ if candidate.is_starved(ask, distance) => Some(Tier::Good),
-            _ if ask.bulky && !is_near => Some(Tier::Far),
+            _ if ask.long_answer && !is_near => Some(Tier::Far),
             Use::Cautiously if !ask.repeatable => Some(Tier::Cautious),
             _ => Some(Tier::Good),
         }
--- a/crates/policy/src/dispatcher/counts.rs
+++ b/crates/policy/src/dispatcher/counts.rs
@@ -7,7 +7,7 @@
 
 use super::Dispatcher;
 use super::choice::HEALTHY_AFTER;
-use crate::belief::Strain;
+use crate::belief::Pressure;
 use crate::rate_limit::RateLimit;
 use crate::time::Time;
 
@@ -111,7 +111,7 @@
 
     /// Endpoints that have been known and idle for at least two seconds.
     pub fn idle_endpoints(&self, now: Time) -> impl Iterator<Item = IdleEndpoint> + '_ {
-        let share = self.likelihoods.share();
+        let share = self.likelihoods.p_unhealthy();
         let all = self.endpoints().iter().zip(&self.loads);
         let is_idle = move |idle: Option<Duration>| idle.is_none_or(|it| it >= REPORTED_IDLE);
         all.filter(move |(_, load)| is_idle(load.idle(now)) && load.age(now) >= REPORTED_IDLE).map(
@@ -121,7 +121,7 @@
                 state: it.state.name(),
                 usage: load.belief.usage(now, self.pressure, share).name(),
                 is_missing: it.is_missing,
-                p_unhealthy: load.belief.sick(now, share),
+                p_unhealthy: load.belief.p_unhealthy(now, share),
                 since_failure: load.belief.since_failure(now),
                 in_use: load.in_use(),
                 oldest_open: load.oldest_open(now),
@@ -155,7 +155,7 @@
     /// Whether so many requests are not served, here or by other services of a split route, that
     /// idle endpoints count against the floor; as of the last choice.
     pub fn is_under_pressure(&self) -> bool {
-        self.pressure != Strain::None
+        self.pressure != Pressure::None
     }
 
     /// Name of the pressure on the service as of the last choice, for logs.
--- a/crates/policy/src/dispatcher/crash_suspects.rs
+++ b/crates/policy/src/dispatcher/crash_suspects.rs
@@ -10,7 +10,7 @@
 use super::load::EndpointLoad;
 use super::{Dispatcher, Permit};
 use crate::observation::Kind;
-use crate::permit::{Ask, Reply, Settled};
+use crate::permit::{Ask, QueuedReply, Reply};
 use crate::suspects::{Rejection, RequestKey, RunEnd};
 use crate::time::Time;
 
@@ -30,7 +30,7 @@
 
     /// Rejections decided here since the last call.
     pub fn take_rejections(&mut self) -> Vec<Rejection> {
-        self.suspects.take_news()
+        self.suspects.take_rejections()
     }
 
     /// Records the end of a send, `elapsed` after it began, whose slot another dispatcher granted.
@@ -73,7 +73,7 @@
     }
 
     /// Removes rejected requests from the queue and returns replies for them.
-    pub(super) fn turn_away_rejected(&mut self, now: Time) -> Vec<Settled> {
+    pub(super) fn turn_away_rejected(&mut self, now: Time) -> Vec<QueuedReply> {
         if !std::mem::take(&mut self.has_new_rejections) {
             return Vec::new();
         }
@@ -84,7 +84,7 @@
         let answer = |ask: Ask| {
             let left = self.suspects.rejected(now, ask.request);
             let reply = Reply::Rejected { retry_after: left.unwrap_or_default() };
-            Settled { id: ask.id, reply }
+            QueuedReply { id: ask.id, reply }
         };
         rejected.into_iter().map(|it| answer(it.item)).collect()
     }
--- a/crates/policy/src/dispatcher/evidence.rs
+++ b/crates/policy/src/dispatcher/evidence.rs
@@ -8,12 +8,12 @@
 
 use super::load::Slot;
 use super::{ANSWERED_PERMIT_LIFETIME, Dispatcher, Permit, Reported};
-use crate::belief::{Strain, Use};
+use crate::belief::{Pressure, Use};
 use crate::observation::{Kind, Observation};
-use crate::permit::{PermitId, Settled};
+use crate::permit::{PermitId, QueuedReply};
 use crate::rate_limit::RateLimit;
-use crate::served::Ending;
 use crate::time::Time;
+use crate::unserved::Completion;
 
 /// How often the learned likelihoods are refreshed.
 const LIKELIHOOD_REFRESH: Duration = Duration::from_millis(100);
@@ -66,7 +66,7 @@
         id: PermitId,
         elapsed: Duration,
         rng: &mut impl Rng,
-    ) -> Vec<Settled> {
+    ) -> Vec<QueuedReply> {
         let Some(permit) = self.permits.get_mut(&id).filter(|it| !it.reported.has_answer()) else {
             return Vec::new();
         };
@@ -114,7 +114,7 @@
 
     /// Counts requests that ended here without being served.
     pub(super) fn note_unserved(&mut self, now: Time, requests: usize) {
-        (0..requests).for_each(|_| self.unserved.note(now, Ending::Unserved));
+        (0..requests).for_each(|_| self.unserved.note(now, Completion::Unserved));
     }
 
     /// Takes over the health estimates, advertisements and crash suspects of another dispatcher of
@@ -147,7 +147,7 @@
         let endpoints = self.endpoints().iter().zip(&self.loads);
         endpoints
             .filter(move |(_, load)| {
-                load.belief.usage(now, Strain::None, self.likelihoods.share()) == Use::Last
+                load.belief.usage(now, Pressure::None, self.likelihoods.p_unhealthy()) == Use::Last
             })
             .map(|(it, _)| it.addr)
     }
@@ -158,8 +158,8 @@
         EvidenceReport {
             score: self.detector.score(endpoint),
             in_use: load.in_use(),
-            p_unhealthy: load.belief.sick(now, self.likelihoods.share()),
-            usage: load.belief.usage(now, self.pressure, self.likelihoods.share()).name(),
+            p_unhealthy: load.belief.p_unhealthy(now, self.likelihoods.p_unhealthy()),
+            usage: load.belief.usage(now, self.pressure, self.likelihoods.p_unhealthy()).name(),
             since_failure: load.belief.since_failure(now),
             rate_limit: load.advertised.pacer.limit(),
         }
@@ -170,19 +170,19 @@
         match kind {
             Kind::Answered => {
                 self.counts.answered += 1;
-                self.unserved.note(now, Ending::Served);
+                self.unserved.note(now, Completion::Served);
             }
             Kind::Failed | Kind::Crashed if permit.is_last_send => {
                 self.counts.failed += 1;
-                self.unserved.note(now, Ending::Unserved);
+                self.unserved.note(now, Completion::Unserved);
             }
             Kind::TimedOut => {
                 self.counts.timed_out += 1;
-                self.unserved.note(now, Ending::Unserved);
+                self.unserved.note(now, Completion::Unserved);
             }
             Kind::Shed if permit.is_last_send && permit.is_further => {
                 self.counts.shed_last += 1;
-                self.unserved.note(now, Ending::Unserved);
+                self.unserved.note(now, Completion::Unserved);
             }
             _ => {}
         }
@@ -201,9 +201,9 @@
             return;
         }
         self.likelihoods_refreshed = now;
-        let prior = self.likelihoods.share();
+        let prior = self.likelihoods.p_unhealthy();
         let in_use = self.loads.iter().filter(|it| it.belief.is_recent(now));
-        self.likelihoods.refresh(in_use.map(|it| it.belief.sick(now, prior)));
+        self.likelihoods.refresh(in_use.map(|it| it.belief.p_unhealthy(now, prior)));
     }
 
     /// Passes an outcome to the health estimate and to outlier detection.
@@ -214,22 +214,22 @@
 
     fn update_belief(&mut self, now: Time, it: Observation) {
         let ratio = self.likelihood_ratio(&it);
-        let prior = self.likelihoods.share();
+        let prior = self.likelihoods.p_unhealthy();
         let belief = &mut self.loads[it.endpoint].belief;
-        let before = belief.usage(now, Strain::None, prior);
+        let before = belief.usage(now, Pressure::None, prior);
         belief.observe(now, it.kind, it.reporter, it.elapsed, ratio, prior);
-        if before != Use::Last && belief.usage(now, Strain::None, prior) == Use::Last {
+        if before != Use::Last && belief.usage(now, Pressure::None, prior) == Use::Last {
             let reason = match it.kind {
                 Kind::Unreachable => "used last: several nodes in a row cannot reach it",
                 it if it.is_silence() => "used last: a request had no answer",
                 _ => "used last: a request failed",
             };
-            self.detector.rotation.remark(it.endpoint, reason);
+            self.detector.rotation.note_event(it.endpoint, reason);
         }
-        let p_unhealthy = self.loads[it.endpoint].belief.sick(now, prior);
+        let p_unhealthy = self.loads[it.endpoint].belief.p_unhealthy(now, prior);
         self.likelihoods.learn(it.kind, p_unhealthy);
         match it.kind {
-            Kind::TimedOut | Kind::Beaten | Kind::Abandoned => {
+            Kind::TimedOut | Kind::LostToHedge | Kind::Abandoned => {
                 self.detector.baseline.add_unanswered(it.route, it.elapsed, 1.0 - p_unhealthy);
             }
             Kind::Failed | Kind::Crashed => {
@@ -243,7 +243,7 @@
     fn likelihood_ratio(&self, it: &Observation) -> f64 {
         let baseline = &self.detector.baseline;
         match it.kind.is_silence() {
-            true => self.likelihoods.silence(baseline.still_open(it.route, it.elapsed)),
+            true => self.likelihoods.silence_ratio(baseline.still_open(it.route, it.elapsed)),
             false => self.likelihoods.ratio(baseline, it.kind, it.route),
         }
     }
--- a/crates/policy/src/dispatcher/idle.rs
+++ b/crates/policy/src/dispatcher/idle.rs
@@ -6,7 +6,7 @@
 //! availability floor: while a tenth to a half of a service's requests are not served in a window
 //! of two seconds, most of its healthy endpoints must get work in that window. An endpoint with an
 //! isolated failure counts as healthy again after two seconds, so one that is idle for longer than
-//! [`IDLE_AFTER`](crate::belief::IDLE_AFTER) may count as starved.
+//! [`IDLE_AFTER_FAILURE`](crate::belief::IDLE_AFTER_FAILURE) may count as starved.
 //!
 //! The event that makes the floor apply may follow the evaluated window, for example the loss of
 //! all nodes with the requests in progress. Therefore the bound holds at all times, also in normal
@@ -18,7 +18,7 @@
 
 use std::time::Duration;
 
-use crate::belief::ALONE_AFTER;
+use crate::belief::PROBE_AFTER;
 
 /// Share of the active endpoints that the availability target surely counts. The others may be
 /// slow, cut off from the platform or behind bad links, which causes no visible failures; eight of
@@ -46,8 +46,8 @@
     let mut active = 0;
     for it in endpoints.filter(|it| it.may_be_healthy) {
         match it.idle {
-            Some(idle) if idle > ALONE_AFTER && it.is_in_rotation => idle_times.push(idle),
-            Some(idle) if idle > ALONE_AFTER => out_of_rotation += 1,
+            Some(idle) if idle > PROBE_AFTER && it.is_in_rotation => idle_times.push(idle),
+            Some(idle) if idle > PROBE_AFTER => out_of_rotation += 1,
             Some(_) => active += usize::from(it.is_settled),
             None => {}
         }
@@ -59,6 +59,6 @@
     idle_times.sort_unstable();
     match may_stay_idle.checked_sub(1) {
         Some(last) => idle_times.get(last).copied().unwrap_or(Duration::MAX),
-        None => ALONE_AFTER,
+        None => PROBE_AFTER,
     }
 }
--- a/crates/policy/src/dispatcher/load.rs
+++ b/crates/policy/src/dispatcher/load.rs
@@ -6,9 +6,9 @@
 use super::advertised::Advertised;
 use crate::baseline::Baseline;
 use crate::belief::Belief;
+use crate::likelihoods::Likelihoods;
 use crate::permit::{Ask, PermitId};
 use crate::rendezvous::stable_hash;
-use crate::signs::Signs;
 use crate::suspects::RequestKey;
 use crate::time::Time;
 use crate::topology::Distance;
@@ -183,10 +183,16 @@
 
     /// Likelihood ratio, unhealthy against healthy, of having answered none of its open requests by
     /// now.
-    pub(super) fn silence_ratio(&self, now: Time, baseline: &Baseline, likelihoods: &Signs) -> f64 {
+    pub(super) fn silence_ratio(
+        &self,
+        now: Time,
+        baseline: &Baseline,
+        likelihoods: &Likelihoods,
+    ) -> f64 {
         let waiting = self.open.iter().filter(|it| it.progress == Progress::Working);
-        let ratio =
-            |it: &OpenSend| likelihoods.silence(baseline.still_open(it.route, now.since(it.since)));
+        let ratio = |it: &OpenSend| {
+            likelihoods.silence_ratio(baseline.still_open(it.route, now.since(it.since)))
+        };
         waiting.map(ratio).product()
     }
 }
--- a/crates/policy/src/dispatcher/notices.rs
+++ b/crates/policy/src/dispatcher/notices.rs
@@ -34,12 +34,14 @@
             return false;
         }
         match notice {
-            Notice::RateLimit(limit) => self.loads[endpoint].advertised.pacer.hear(now, now, limit),
+            Notice::RateLimit(limit) => {
+                self.loads[endpoint].advertised.pacer.observe(now, now, limit)
+            }
             Notice::Leaving => {
-                self.detector.rotation.leave(now, endpoint);
+                self.detector.rotation.mark_leaving(now, endpoint);
                 !std::mem::replace(&mut self.loads[endpoint].advertised.is_leaving, true)
             }
-            Notice::Rest(length) => {
+            Notice::Backoff(length) => {
                 let load = &mut self.loads[endpoint];
                 load.full_until = load.full_until.max(now + length.min(MAX_FULL_AFTER_BACKOFF));
                 load.advertised.backoffs.request(now, by, length)
@@ -80,7 +82,7 @@
     /// registry says.
     pub(super) fn apply_advertised_leaving(&mut self, now: Time) {
         for i in (0..self.loads.len()).filter(|i| self.loads[*i].advertised.is_leaving) {
-            self.detector.rotation.leave(now, i);
+            self.detector.rotation.mark_leaving(now, i);
         }
     }
 
@@ -99,7 +101,7 @@
             if it.usable_slots(now) == 0 {
                 continue;
             }
-            if ask.bars(load.failure_domain) {
+            if ask.excludes(load.failure_domain) {
                 backoffs.push((BARRED_RETRY_AFTER, false));
                 continue;
             }
--- a/crates/policy/src/dispatcher/rate_limits.rs
+++ b/crates/policy/src/dispatcher/rate_limits.rs
@@ -9,7 +9,7 @@
 use super::load::EndpointLoad;
 use super::{Dispatcher, Precedence};
 use crate::permit::Ask;
-use crate::rate_limit::HeardLimit;
+use crate::rate_limit::ObservedLimit;
 use crate::time::Time;
 
 impl Dispatcher {
@@ -22,10 +22,11 @@
     }
 
     /// Rate limits that this node has received recently, latest first.
-    pub fn received_limits(&self, now: Time) -> Vec<HeardLimit> {
+    pub fn received_limits(&self, now: Time) -> Vec<ObservedLimit> {
         let all = self.endpoints().iter().zip(&self.loads);
-        let mut limits: Vec<_> =
-            all.filter_map(|(it, load)| load.advertised.pacer.told(now, it.addr)).collect();
+        let mut limits: Vec<_> = all
+            .filter_map(|(it, load)| load.advertised.pacer.observed_limit(now, it.addr))
+            .collect();
         limits.sort_by_key(|it| it.age_ms);
         limits.truncate(Ask::MAX_LIMITS);
         limits
@@ -37,7 +38,7 @@
         for it in &ask.limits {
             let all = self.detector.rotation.endpoints().iter().zip(&mut self.loads);
             for (_, load) in all.filter(|(status, _)| status.addr == it.endpoint) {
-                load.advertised.pacer.hear(now, before(it.age_ms), Some(it.limit));
+                load.advertised.pacer.observe(now, before(it.age_ms), Some(it.limit));
                 it.sent_ms
                     .map(before)
                     .into_iter()
@@ -48,7 +49,7 @@
 
     /// Whether any endpoint is under a rate limit.
     pub fn has_limits(&self, now: Time) -> bool {
-        self.loads.iter().any(|it| it.advertised.pacer.bound(now).is_some())
+        self.loads.iter().any(|it| it.advertised.pacer.effective_limit(now).is_some())
     }
 
     /// Applies the registry's warm-up times of cold endpoints. When the evacuation of a failure
@@ -62,12 +63,12 @@
             let pacer = &mut load.advertised.pacer;
             if before != it.warm_up {
                 match it.warm_up.is_zero() {
-                    true => pacer.warm(),
-                    false => pacer.chill(now, rate, now + it.warm_up),
+                    true => pacer.mark_warm(),
+                    false => pacer.mark_cold(now, rate, now + it.warm_up),
                 }
             }
             if was_evacuated && !it.is_evacuated && !pacer.is_cold(now) {
-                pacer.chill(now, rate, now + self.warm_up);
+                pacer.mark_cold(now, rate, now + self.warm_up);
             }
         }
     }
--- a/crates/policy/src/dispatcher/waiting.rs
+++ b/crates/policy/src/dispatcher/waiting.rs
@@ -9,7 +9,7 @@
 use super::choice::Survey;
 use super::congestion::Arrival;
 use super::{Dispatcher, MIN_RETRY_AFTER};
-use crate::permit::{Ask, PermitId, Places, Reply, SendKind, Settled};
+use crate::permit::{Ask, DomainFilter, PermitId, QueuedReply, Reply, SendKind};
 use crate::queue::Waiting;
 use crate::rendezvous::NodeId;
 use crate::suspects::RequestKey;
@@ -60,7 +60,7 @@
     }
 
     /// Grants free slots to queued requests.
-    pub(super) fn drain(&mut self, now: Time, rng: &mut impl Rng) -> Vec<Settled> {
+    pub(super) fn drain(&mut self, now: Time, rng: &mut impl Rng) -> Vec<QueuedReply> {
         let is_too_soon =
             self.loads.len() >= LARGE_SERVICE && now.since(self.last_drain) < LARGE_DRAIN_INTERVAL;
         if self.queue.len() == 0 || is_too_soon {
@@ -83,7 +83,7 @@
             self.release_reserved_repeats(std::iter::once(&ask));
             let reply = Reply::Granted(self.grant(now, &ask, choice));
             self.refresh_candidate(&mut survey, choice.0);
-            settled.push(Settled { id: ask.id, reply });
+            settled.push(QueuedReply { id: ask.id, reply });
         }
         settled
     }
@@ -112,13 +112,14 @@
     /// Gives back the repeat budget reserved for asks that leave the queue. Granted asks spend
     /// their budget when the slot is granted.
     pub(super) fn release_reserved_repeats<'a>(&mut self, asks: impl Iterator<Item = &'a Ask>) {
-        asks.filter(|it| it.send == SendKind::Further).for_each(|_| self.budget.give_back());
+        asks.filter(|it| it.send == SendKind::Further)
+            .for_each(|_| self.budget.cancel_reservation());
     }
 
     /// Refuses a request that has waited until its deadline.
-    pub(super) fn refusal(&self, id: PermitId) -> Settled {
+    pub(super) fn refusal(&self, id: PermitId) -> QueuedReply {
         let retry_after = self.mean_hold.max(MIN_RETRY_AFTER);
-        Settled { id, reply: Reply::Refused { retry_after } }
+        QueuedReply { id, reply: Reply::Refused { retry_after } }
     }
 }
 
@@ -131,13 +132,13 @@
     node: Option<NodeId>,
     repeatable: bool,
     is_last: bool,
-    bulky: bool,
+    long_answer: bool,
     send: SendKind,
     priority: Priority,
     objective: Duration,
     avoid: &'a [SocketAddr],
     closed: &'a [SocketAddr],
-    places: Option<&'a Places>,
+    places: Option<&'a DomainFilter>,
     /// The request, if an endpoint has crashed during it.
     watched: Option<RequestKey>,
 }
@@ -149,13 +150,13 @@
             node: by_node.then_some(ask.reporter.node),
             repeatable: ask.repeatable,
             is_last: ask.is_last,
-            bulky: ask.bulky,
+            long_answer: ask.long_answer,
             send: ask.send,
             priority: ask.priority,
             objective: ask.objective,
             avoid: &ask.avoid,
             closed: &ask.closed,
-            places: ask.places.as_deref(),
+            places: ask.domains.as_deref(),
             watched: None,
         }
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,10 @@
-//! Every decision about requests and endpoints, without I/O: which endpoint gets a request, whether
-//! it waits, is refused, sent again or hedged, and which endpoints are ejected and readmitted.
+//! Decisions about requests and endpoints, without I/O: which endpoint serves a request, whether
+//! the request waits, is refused, repeated or hedged, and which endpoints are ejected and
+//! readmitted.
 //!
-//! Time, randomness and messages are arguments, so the code that serves traffic is also the code
-//! that the model check and the property tests drive. This crate must not know tokio, sockets or a
-//! wall clock.
+//! Time, randomness and messages are passed as arguments, so the model check and the property tests
+//! run the same code that serves traffic. This crate must not depend on tokio, sockets or a wall
+//! clock.
 
 mod allowance;
 mod baseline;
@@ -11,23 +12,23 @@
 mod budget;
 mod class;
 mod dispatcher;
-mod judge;
+mod likelihoods;
 mod notice;
 mod observation;
+mod outlier;
 mod permit;
 mod queue;
 mod rate_limit;
 mod rendezvous;
 mod retry;
 mod rotation;
-mod served;
-mod signs;
 mod suspects;
 mod time;
 mod topology;
+mod unserved;
 mod verdict;
 
-pub use allowance::{BucketReport, Buckets, Decision, Entrusted, OWNERS, owner_of, owners};
+pub use allowance::{BucketReport, Buckets, Decision, Delegation, OWNERS, owner_of, owners};
 pub use baseline::RouteTerms;
 pub use budget::{BudgetLimits, RepeatsReport};
 pub use dispatcher::{
@@ -35,8 +36,10 @@
 };
 pub use notice::Notice;
 pub use observation::{Kind, Observation, Reporter};
-pub use permit::{Ask, Doubt, Grant, PermitId, Places, Reply, SendKind, Settled, Tier};
-pub use rate_limit::{HeardLimit, RateLimit};
+pub use permit::{
+    Ask, DomainFilter, Grant, HealthEstimate, PermitId, QueuedReply, Reply, SendKind, Tier,
+};
+pub use rate_limit::{ObservedLimit, RateLimit};
 pub use rendezvous::{NodeId, rank, rank_strong_first, stable_hash};
 pub use retry::{Attempt, Next, Outcome, next_step};
 pub use rotation::{Change, EndpointStatus, Rotation, State, domain_floors};
--- a/crates/policy/src/judge.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,9 +1,10 @@
-//! Verdicts on endpoints from the outcomes of real requests.
+//! Outlier detection: finds unhealthy endpoints from the outcomes of real requests.
 //!
-//! Outcomes are compared with the service's own baseline and summed up per endpoint by a sequential
-//! test. When a sum crosses its threshold the judge first asks whose fault it is: the endpoint's,
-//! the path's from one reporter or failure domain, or one that all siblings share. Only the first
-//! ejects. Probes and load reports are not evidence here.
+//! Outcomes are compared with the service's own baseline and accumulated per endpoint by a
+//! sequential test. When an endpoint's score crosses the threshold, the detector first attributes
+//! the failures: to the endpoint, to the network path from one reporter or failure domain, to a
+//! fault shared by all siblings, or to the reporter. Only a fault of the endpoint leads to an
+//! ejection. Health probes and load reports are not used as evidence.
 
 mod fault;
 
@@ -15,68 +16,73 @@
 use crate::baseline::{Baseline, RouteTerms};
 use crate::class::Class;
 use crate::observation::{Kind, Observation, Reporter};
-use crate::rotation::{Lives, Rotation, State};
+use crate::rotation::{Incarnations, Rotation, State};
 use crate::time::Time;
-use crate::verdict::{Score, Thresholds, log_ratio};
+use crate::verdict::{Score, Thresholds, log_likelihood_ratio};
 use fault::{Fault, Scope};
 
-/// Outcomes kept per endpoint to find whose fault a bad run is.
-const RECENT: usize = 32;
-/// How long a path fault keeps a reporter away from an endpoint.
+/// Outcomes kept per endpoint to attribute a run of failures.
+const MAX_RECENT: usize = 32;
+/// How long a reporter avoids an endpoint after a path fault.
 const AVOID_FOR: Duration = Duration::from_secs(5);
-/// A fault that siblings share ejects nobody for this long, so that it has time to end.
-const EXCUSED_FOR: Duration = Duration::from_secs(2);
-/// The baseline is decayed this often.
+/// After a fault shared by siblings, the endpoint is not ejected for this long, so that the fault
+/// can end.
+const SHARED_FAULT_DEFERRAL: Duration = Duration::from_secs(2);
+/// Interval at which the baseline is decayed.
 const REFRESH: Duration = Duration::from_millis(100);
-/// Part of the baseline that is kept at each refresh: a half-life of about seven seconds.
-const KEEP: f64 = 0.99;
-/// How much the part of bad siblings raises the threshold. One sick endpoint among well ones is not
-/// found any later for it.
+/// Share of the baseline kept at each refresh: a half-life of about seven seconds.
+const REFRESH_KEEP: f64 = 0.99;
+/// How much the share of failing siblings raises the threshold. A single unhealthy endpoint among
+/// healthy ones is detected no later.
 const SIBLING_WEIGHT: f64 = 2.0;
-/// Part of the threshold that fails a trial: one stalled request, or several late ones.
-const TRIAL_PART: f64 = 0.3;
+/// Fraction of the ejection threshold that fails a trial: one stalled request or several late ones.
+const TRIAL_FRACTION: f64 = 0.3;
+
+/// One outcome of an endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Recent {
     at: Time,
     started: Time,
     reporter: Reporter,
     class: Class,
-    /// What it added to the score.
+    /// The log-likelihood ratio that the outcome added to the score.
     ratio: f64,
 }
 
+/// What is known about one endpoint.
 #[derive(Clone, Debug, Default)]
 struct Evidence {
     score: Score,
     recent: VecDeque<Recent>,
-    avoid: Vec<Avoid>,
-    /// Its siblings were as bad; until then it is not judged again.
-    excused_until: Time,
+    path_faults: Vec<PathFault>,
+    /// Until then the endpoint is not examined again, because its siblings failed as well.
+    deferred_until: Time,
 }
 
+/// A path fault in effect: the reporters that avoid the endpoint, and until when.
 #[derive(Clone, Copy, Debug)]
-struct Avoid {
+struct PathFault {
     scope: Scope,
     until: Time,
 }
 
-/// The judge of one service on one node.
+/// The outlier detector of one service on one node.
 #[derive(Clone, Debug)]
-pub(crate) struct Judge {
+pub(crate) struct OutlierDetector {
     pub(crate) rotation: Rotation,
     pub(crate) baseline: Baseline,
     thresholds: Thresholds,
     evidence: Vec<Evidence>,
     refreshed: Time,
-    /// Outcomes have come since the last refresh.
+    /// Outcomes have arrived since the last refresh.
     is_active: bool,
-    /// Counts for the report: path, shared and reporter faults seen.
+    // Faults found so far by cause, for the report.
     pub(crate) path_faults: u64,
     pub(crate) shared_faults: u64,
     pub(crate) reporter_faults: u64,
 }
 
-impl Judge {
+impl OutlierDetector {
     pub(crate) fn new(now: Time, service: &Service, routes: &[RouteTerms]) -> Self {
         let mut baseline = Baseline::default();
         baseline.retain_routes(routes);
@@ -93,8 +99,9 @@
         }
     }
 
+    /// Applies a new configuration; evidence about remaining endpoint incarnations is kept.
     pub(crate) fn reconfigure(&mut self, now: Time, service: &Service, routes: &[RouteTerms]) {
-        let before = Lives::of(self.rotation.endpoints());
+        let before = Incarnations::of(self.rotation.endpoints());
         let mut evidence = std::mem::take(&mut self.evidence);
         self.rotation.reconfigure(now, service);
         self.thresholds = Thresholds::of(service.bias);
@@ -110,7 +117,7 @@
         self.baseline.retain_routes(routes);
     }
 
-    /// Takes in one outcome.
+    /// Applies one outcome.
     pub(crate) fn observe(&mut self, now: Time, it: Observation) {
         let Some(class) = self.baseline.class_of(it.kind, it.route, it.elapsed) else { return };
         self.is_active = true;
@@ -119,32 +126,35 @@
             let answered = (it.kind == Kind::Answered).then_some(it.elapsed);
             self.baseline.add(it.route, class, answered);
         }
-        self.remember(now, it, class);
+        self.record_recent(now, it, class);
         self.evidence[it.endpoint].score.add(class, self.baseline.shares(), self.thresholds);
         match class {
-            Class::Good => self.good(now, it.endpoint),
+            Class::Good => self.record_good(now, it.endpoint),
             Class::Shed => {}
-            _ if matches!(state, State::Trial { .. }) => self.judge_trial(now, it.endpoint),
-            _ => self.judge(now, it),
+            _ if matches!(state, State::Trial { .. }) => self.check_trial(now, it.endpoint),
+            _ => self.check_score(now, it),
         }
     }
 
-    /// Whether a path fault keeps anybody away from an endpoint.
+    /// Whether any path fault is in effect.
     pub(crate) fn has_path_faults(&self) -> bool {
-        self.evidence.iter().any(|it| !it.avoid.is_empty())
+        self.evidence.iter().any(|it| !it.path_faults.is_empty())
     }
 
-    /// Whether a path fault keeps `reporter` away from an endpoint.
+    /// Whether a path fault makes `reporter` avoid an endpoint.
     pub(crate) fn avoids(&self, now: Time, endpoint: usize, reporter: Reporter) -> bool {
-        self.evidence[endpoint].avoid.iter().any(|it| now < it.until && it.scope.covers(reporter))
+        self.evidence[endpoint]
+            .path_faults
+            .iter()
+            .any(|it| now < it.until && it.scope.covers(reporter))
     }
 
-    /// The sequential test's score of an endpoint.
+    /// The score of an endpoint in the sequential test.
     pub(crate) fn score(&self, endpoint: usize) -> f64 {
         self.evidence[endpoint].score.value()
     }
 
-    /// Moves what time alone moves. Call it several times a second.
+    /// Applies the changes that depend on time alone. To be called several times a second.
     pub(crate) fn tick(&mut self, now: Time) {
         self.rotation.tick(now);
         self.start_trials(now);
@@ -154,41 +164,42 @@
         }
         self.refreshed = now;
         self.is_active = false;
-        self.baseline.refresh(KEEP.powf(intervals as f64));
+        self.baseline.refresh(REFRESH_KEEP.powf(intervals as f64));
         for i in 0..self.evidence.len() {
-            self.evidence[i].avoid.retain(|it| now < it.until);
+            self.evidence[i].path_faults.retain(|it| now < it.until);
             self.retry_ejection(now, i);
         }
     }
 
-    /// Whether nothing has happened that a tick would have to follow up.
+    /// Whether a tick has nothing to do.
     pub(crate) fn is_idle(&self) -> bool {
         !self.is_active && self.rotation.is_steady()
     }
 
-    /// Drops all evidence, as after a pause of this process: it may speak of our own absence.
-    pub(crate) fn forget(&mut self) {
+    /// Drops all evidence, as after a pause of this process: requests may have failed because of
+    /// the pause.
+    pub(crate) fn discard_evidence(&mut self) {
         self.evidence.iter_mut().for_each(|it| *it = Evidence::default());
     }
 
-    fn good(&mut self, now: Time, endpoint: usize) {
-        self.rotation.good(now, endpoint);
+    fn record_good(&mut self, now: Time, endpoint: usize) {
+        self.rotation.record_good(now, endpoint);
         if self.evidence[endpoint].score.value() == 0.0 {
-            self.rotation.clear(now, endpoint);
+            self.rotation.clear_suspicion(now, endpoint);
         }
     }
 
-    fn judge(&mut self, now: Time, it: Observation) {
-        if now < self.evidence[it.endpoint].excused_until {
+    fn check_score(&mut self, now: Time, it: Observation) {
+        if now < self.evidence[it.endpoint].deferred_until {
             return;
         }
         if self.evidence[it.endpoint].score.value() < self.thresholds.eject {
             return;
         }
-        match self.whose_fault(now, it.endpoint) {
-            Fault::Endpoint if !self.is_convicted(now, it.endpoint) => {}
+        match self.attribute_fault(now, it.endpoint) {
+            Fault::Endpoint if !self.is_confirmed(now, it.endpoint) => {}
             Fault::Endpoint => {
-                self.rotation.eject(now, it.endpoint, "sick against its siblings");
+                self.rotation.eject(now, it.endpoint, "unhealthy compared with its siblings");
                 self.purge_baseline(now, it.endpoint);
             }
             Fault::Path(scope) => {
@@ -196,42 +207,42 @@
                 let evidence = &mut self.evidence[it.endpoint];
                 evidence.recent.retain(|it| !scope.covers(it.reporter));
                 evidence.score.reset();
-                evidence.avoid.push(Avoid { scope, until: now + AVOID_FOR });
+                evidence.path_faults.push(PathFault { scope, until: now + AVOID_FOR });
             }
             Fault::Reporter(reporter) => {
                 self.reporter_faults += 1;
-                self.discard(reporter);
+                self.discard_reports_of(reporter);
             }
-            // Siblings that are alike are used alike.
+            // The siblings fail alike, so none of them is ejected.
             Fault::Shared => {
                 self.shared_faults += 1;
-                self.evidence[it.endpoint].excused_until = now + EXCUSED_FOR;
+                self.evidence[it.endpoint].deferred_until = now + SHARED_FAULT_DEFERRAL;
             }
         }
     }
 
-    /// Takes what a sick endpoint did out of what counts as normal; otherwise the next one that falls
-    /// sick in the same way would look less unusual.
+    /// Removes the failures of an unhealthy endpoint from the baseline. Otherwise the next endpoint
+    /// that fails in the same way would look less unusual.
     fn purge_baseline(&mut self, now: Time, endpoint: usize) {
         let bad: Vec<Class> = self.recent(now, endpoint).map(|it| it.class).collect();
         bad.into_iter().filter(|it| it.is_bad()).for_each(|it| self.baseline.remove(it));
     }
 
-    /// Whether the evidence suffices. It takes more when siblings have begun to look bad too, so that
-    /// a shared fault has time to show at all of them.
-    fn is_convicted(&self, now: Time, i: usize) -> bool {
+    /// Whether the evidence suffices for an ejection. The threshold is higher when siblings have
+    /// begun to fail too, so that a shared fault has time to show at all of them.
+    fn is_confirmed(&self, now: Time, i: usize) -> bool {
         let score = self.evidence[i].score.value();
-        score >= self.thresholds.eject * (1.0 + SIBLING_WEIGHT * self.bad_siblings(now, i))
+        score >= self.thresholds.eject * (1.0 + SIBLING_WEIGHT * self.bad_sibling_share(now, i))
     }
 
-    /// On trial little evidence is enough: the endpoint was judged sick a moment ago.
-    fn judge_trial(&mut self, now: Time, i: usize) {
-        if self.evidence[i].score.value() >= self.thresholds.eject * TRIAL_PART {
+    /// Fails a trial on little evidence, because the endpoint was unhealthy a moment ago.
+    fn check_trial(&mut self, now: Time, i: usize) {
+        if self.evidence[i].score.value() >= self.thresholds.eject * TRIAL_FRACTION {
             self.rotation.eject(now, i, "trial failed");
         }
     }
 
-    /// Evidence from before a trial does not count in it.
+    /// Discards the evidence from before a trial.
     fn start_trials(&mut self, now: Time) {
         for (it, evidence) in self.rotation.endpoints().iter().zip(&mut self.evidence) {
             if matches!(it.state, State::Trial { since, .. } if since == now) {
@@ -240,15 +251,18 @@
         }
     }
 
-    /// An endpoint that the floor kept is ejected as soon as the floor allows it.
+    /// Ejects a suspect as soon as the floor allows it.
     fn retry_ejection(&mut self, now: Time, i: usize) {
         let is_suspect = self.rotation.endpoints()[i].state == State::Suspect;
-        if is_suspect && self.is_convicted(now, i) && self.whose_fault(now, i) == Fault::Endpoint {
-            self.rotation.eject(now, i, "sick, and the floor now allows it");
+        if is_suspect
+            && self.is_confirmed(now, i)
+            && self.attribute_fault(now, i) == Fault::Endpoint
+        {
+            self.rotation.eject(now, i, "unhealthy, and the floor now allows an ejection");
         }
     }
 
-    fn discard(&mut self, reporter: Reporter) {
+    fn discard_reports_of(&mut self, reporter: Reporter) {
         for it in &mut self.evidence {
             if it.recent.iter().any(|r| r.class.is_bad() && r.reporter == reporter) {
                 it.score.reset();
@@ -257,13 +271,13 @@
         }
     }
 
-    fn remember(&mut self, now: Time, it: Observation, class: Class) {
+    fn record_recent(&mut self, now: Time, it: Observation, class: Class) {
         if class == Class::Shed {
             return;
         }
-        let ratio = log_ratio(class, self.baseline.shares());
+        let ratio = log_likelihood_ratio(class, self.baseline.shares());
         let recent = &mut self.evidence[it.endpoint].recent;
-        if recent.len() == RECENT {
+        if recent.len() == MAX_RECENT {
             recent.pop_front();
         }
         let started = now - it.elapsed;
--- a/crates/policy/src/rotation/floor.rs
+++ b/crates/policy/src/rotation/floor.rs
@@ -1,4 +1,4 @@
-//! The floor that ejections never go below, split over the failure domains.
+//! The floor below which ejections never reduce a service, split over its failure domains.
 
 use std::time::Duration;
 
@@ -7,12 +7,13 @@
 use super::{Rotation, State};
 use crate::time::Time;
 
-/// After a change of configuration the smaller of the old and new allowance holds for this long,
-/// because other nodes may still judge by the old one.
-pub(crate) const SETTLE: Duration = Duration::from_secs(20);
+/// After a change of configuration the stricter of the old and new floors applies for this long,
+/// because other nodes may still apply the old one.
+pub(crate) const FLOOR_SETTLE_TIME: Duration = Duration::from_secs(20);
 
-/// The floor of each failure domain, in endpoints, in the order of first mention: the sizes less
-/// the allowance for ejections, which is split by largest remainder. The parts add up to the floor.
+/// The floor of each failure domain, in endpoints, in the order of first mention. Each floor is the
+/// size of the failure domain minus its share of the permitted ejections, which are split by the
+/// largest-remainder method. The sum equals the floor of the service.
 pub fn domain_floors(service: &Service) -> Vec<(Name, usize)> {
     let mut sizes: Vec<(Name, usize)> = Vec::new();
     for it in &service.endpoints {
@@ -26,8 +27,8 @@
     let mut shares: Vec<usize> = sizes.iter().map(|(_, n)| allowance * n / total.max(1)).collect();
     let mut order: Vec<usize> = (0..sizes.len()).collect();
     order.sort_by_key(|i| std::cmp::Reverse((allowance * sizes[*i].1 % total.max(1), sizes[*i].1)));
-    let rest = allowance - shares.iter().sum::<usize>();
-    for i in order.into_iter().take(rest) {
+    let remainder = allowance - shares.iter().sum::<usize>();
+    for i in order.into_iter().take(remainder) {
         shares[i] += 1;
     }
     sizes.into_iter().zip(shares).map(|((name, n), share)| (name, n - share)).collect()
@@ -38,13 +39,14 @@
 pub(super) struct DomainFloor {
     pub(super) name: Name,
     pub(super) floor: usize,
-    /// A stricter floor that holds until the fleet has settled on a new configuration.
-    pub(super) settling: Option<(usize, Time)>,
+    /// A stricter floor, and until when it applies after a change of configuration.
+    pub(super) stricter_until: Option<(usize, Time)>,
 }
 
 impl DomainFloor {
+    /// The floor that applies now.
     pub(super) fn current(&self, now: Time) -> usize {
-        match self.settling {
+        match self.stricter_until {
             Some((floor, until)) if now < until => floor.max(self.floor),
             _ => self.floor,
         }
@@ -52,32 +54,35 @@
 }
 
 impl Rotation {
-    /// The floor of a failure domain now, in endpoints.
+    /// The current floor of a failure domain, in endpoints.
     pub fn floor_of(&self, now: Time, failure_domain: &str) -> usize {
         let floor = self.floors.iter().find(|it| it.name == failure_domain);
         floor.map_or(0, |it| it.current(now))
     }
 
-    /// Whether the domain keeps its floor of proven endpoints without endpoint `i`.
+    /// Whether the failure domain keeps its floor of recently healthy endpoints without endpoint
+    /// `i`.
     pub(super) fn floor_allows(&self, now: Time, i: usize) -> bool {
         let domain = &self.endpoints[i].failure_domain;
-        let proven = self
+        let healthy = self
             .endpoints
             .iter()
             .enumerate()
-            .filter(|(j, it)| *j != i && it.failure_domain == *domain && it.is_proven(now))
+            .filter(|(j, it)| {
+                *j != i && it.failure_domain == *domain && it.is_recently_healthy(now)
+            })
             .count();
-        proven >= self.floor_of(now, domain)
+        healthy >= self.floor_of(now, domain)
     }
 
-    /// Brings back the endpoints that were ejected longest ago while a domain has fewer endpoints
-    /// in rotation than its floor, as after a departure or a raised floor.
+    /// While a failure domain has fewer endpoints in rotation than its floor, as after a departure
+    /// or a raised floor, readmits the endpoints that were ejected first.
     pub(super) fn restore_floor(&mut self, now: Time) {
         for f in 0..self.floors.len() {
             let floor = self.floors[f].current(now);
             while self.in_rotation(f) < floor {
-                let Some(i) = self.oldest_out(f) else { break };
-                self.set(now, i, State::Suspect, "brought back: too few in rotation");
+                let Some(i) = self.first_ejected(f) else { break };
+                self.set(now, i, State::Suspect, "readmitted: too few in rotation");
             }
         }
     }
@@ -88,7 +93,7 @@
         own.filter(|it| it.state.in_rotation()).count()
     }
 
-    fn oldest_out(&self, f: usize) -> Option<usize> {
+    fn first_ejected(&self, f: usize) -> Option<usize> {
         let domain = &self.floors[f].name;
         (0..self.endpoints.len())
             .filter(|i| self.endpoints[*i].failure_domain == *domain)
--- a/crates/policy/src/tests.rs
+++ b/crates/policy/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, driven without I/O.
+//! Unit tests of the decisions, without I/O.
 
 mod allowance;
 mod budget;
@@ -9,8 +9,9 @@
 mod floor_model;
 mod idle;
 mod in_transit;
+mod incarnations;
 mod kinds;
-mod lives;
+mod likelihoods;
 mod notices;
 mod overload;
 mod places;
@@ -18,7 +19,6 @@
 mod rate_limit;
 mod rendezvous;
 mod retry;
-mod signs;
 mod silence;
 mod suspects;
 mod verdicts;
--- a/crates/policy/src/tests/choice.rs
+++ b/crates/policy/src/tests/choice.rs
@@ -29,7 +29,7 @@
     let mut dispatcher = Dispatcher::new(Time(0), &service, &[TERMS], BUDGET);
     let near = Reporter { node: NodeId(1), failure_domain: stable_hash(b"b") };
     let mut domains = |seqs: std::ops::Range<u64>, objective| -> Vec<_> {
-        seqs.map(|seq| Ask { bulky: true, reporter: near, objective, ..ask(seq, true) })
+        seqs.map(|seq| Ask { long_answer: true, reporter: near, objective, ..ask(seq, true) })
             .map(|ask| domain_of(&dispatcher.ask(Time(0), ask, &mut rng)))
             .collect()
     };
@@ -297,12 +297,12 @@
         (0..3).for_each(|_| dispatcher.observe(Time(0), &endpoint.id, seen));
     }
     let near = Reporter { node: NodeId(1), failure_domain: stable_hash(b"b") };
-    let bulky = |seq| Ask { bulky: true, reporter: near, ..ask(seq, true) };
-    let first = dispatcher.ask(Time(1), bulky(1), &mut rng);
+    let long_answer = |seq| Ask { long_answer: true, reporter: near, ..ask(seq, true) };
+    let first = dispatcher.ask(Time(1), long_answer(1), &mut rng);
     assert!(matches!(&first, Reply::Granted(it) if it.tier == Tier::Near), "{first:?}");
     let second = dispatcher.ask(
         Time(1),
-        Ask { send: SendKind::Further, is_last: true, ..bulky(2) },
+        Ask { send: SendKind::Further, is_last: true, ..long_answer(2) },
         &mut rng,
     );
     assert!(matches!(&second, Reply::Granted(it) if it.tier == Tier::Far), "{second:?}");
@@ -375,9 +375,9 @@
         it.observe(Time(0), &service.endpoints[0].id, seen);
     };
     see(&mut dispatcher, 1, Kind::Abandoned, long / 20);
-    see(&mut dispatcher, 2, Kind::Beaten, long);
+    see(&mut dispatcher, 2, Kind::LostToHedge, long);
     assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 0, "one lost request is usual");
-    (3..5).for_each(|node| see(&mut dispatcher, node, Kind::Beaten, long));
+    (3..5).for_each(|node| see(&mut dispatcher, node, Kind::LostToHedge, long));
     assert_eq!(dispatcher.last_resort_endpoints(Time(0)).count(), 1);
 }
 
@@ -479,6 +479,6 @@
     (0..2).for_each(|_| dispatcher.observe(Time(0) + SECOND, &service.endpoints[0].id, fails));
     let now = Time(0) + SECOND * 2;
     let Reply::Granted(grant) = dispatcher.ask(now, ask(1, true), &mut rng) else { panic!("free") };
-    assert_eq!(grant.doubt.evidence_ms, 1_000);
-    assert!((700..1_000).contains(&grant.doubt.sick_permille), "{:?}", grant.doubt);
+    assert_eq!(grant.health.evidence_ms, 1_000);
+    assert!((700..1_000).contains(&grant.health.unhealthy_permille), "{:?}", grant.health);
 }
--- a/crates/policy/src/tests/fixture.rs
+++ b/crates/policy/src/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A service and a judge that hears made-up outcomes.
+//! A test service, and an outlier detector fed with simulated outcomes.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use resources::{Bias, Endpoint, Floor, Priority, Service, Standing};
 
-use crate::judge::Judge;
+use crate::outlier::OutlierDetector;
 use crate::{
     Ask, BudgetLimits, Dispatcher, Kind, NodeId, Observation, PermitId, Reply, Reporter,
     RequestKey, RouteTerms, SendKind, State, Time,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Ports of small services are easy to read; those of large ones are only to differ.
+/// Distinct ports; those of small services follow a readable pattern.
 fn port(domain: usize, i: usize) -> u16 {
     match i < 100 {
         true => 1000 + 100 * domain as u16 + i as u16,
@@ -58,7 +58,7 @@
     Reporter { node: NodeId(node), failure_domain: node % 3 }
 }
 
-/// What a node tells of one request.
+/// The observation of one request by a node.
 pub(super) fn seen(node: u64, kind: Kind, elapsed: Duration) -> Observation {
     Observation { reporter: reporter(node), endpoint: 0, route: ROUTE, kind, elapsed }
 }
@@ -66,15 +66,15 @@
 /// How an endpoint answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Health {
-    Well,
+    Healthy,
     Stalls(f64),
     Fails(f64),
     Slow(f64),
 }
 
-/// A judge before endpoints of one service, with exponential latencies of 10 ms.
+/// An outlier detector for one service, whose endpoints have exponential latencies of 10 ms.
 pub(super) struct Bench {
-    pub(super) judge: Judge,
+    pub(super) detector: OutlierDetector,
     pub(super) now: Time,
     pub(super) health: Vec<Health>,
     pub(super) heavy_tail: bool,
@@ -84,33 +84,33 @@
 impl Bench {
     pub(super) fn new(service: &Service) -> Self {
         Self {
-            judge: Judge::new(Time(0), service, &[TERMS]),
+            detector: OutlierDetector::new(Time(0), service, &[TERMS]),
             now: Time(0),
-            health: vec![Health::Well; service.endpoints.len()],
+            health: vec![Health::Healthy; service.endpoints.len()],
             heavy_tail: false,
             rng: StdRng::seed_from_u64(1),
         }
     }
 
-    /// Sends one request to a random endpoint in rotation and lets the judge hear of it.
+    /// Sends one request to a random endpoint in rotation and reports the outcome to the detector.
     pub(super) fn step(&mut self, every: Duration) {
         let n = self.health.len();
         let endpoint = self.rng.random_range(0..n);
         let node = self.rng.random_range(0..40);
         self.now = self.now + every;
-        self.judge.tick(self.now);
-        let status = &self.judge.rotation.endpoints()[endpoint];
+        self.detector.tick(self.now);
+        let status = &self.detector.rotation.endpoints()[endpoint];
         if status.admits(self.now, true) {
             let health = self.health[endpoint];
             self.report(endpoint, reporter(node), health);
         }
     }
 
-    /// Lets the judge hear of one request.
+    /// Reports the outcome of one request to the detector.
     pub(super) fn report(&mut self, endpoint: usize, reporter: Reporter, health: Health) {
         let (kind, elapsed) = self.outcome(health);
         let it = Observation { reporter, endpoint, route: ROUTE, kind, elapsed };
-        self.judge.observe(self.now, it);
+        self.detector.observe(self.now, it);
     }
 
     pub(super) fn run(&mut self, requests: usize, every: Duration) {
@@ -118,11 +118,11 @@
     }
 
     pub(super) fn states(&self) -> Vec<&'static str> {
-        self.judge.rotation.endpoints().iter().map(|it| it.state.name()).collect()
+        self.detector.rotation.endpoints().iter().map(|it| it.state.name()).collect()
     }
 
     pub(super) fn ejections(&mut self) -> usize {
-        let changes = self.judge.rotation.take_changes();
+        let changes = self.detector.rotation.take_changes();
         changes.iter().filter(|it| matches!(it.to, State::Ejected { .. })).count()
     }
 
@@ -130,7 +130,7 @@
         let exponential = -(1.0 - self.rng.random::<f64>()).ln();
         let tail = if self.heavy_tail && self.rng.random_bool(0.01) { 20.0 } else { 1.0 };
         let usual = Duration::from_millis(10).mul_f64(exponential * tail);
-        let stall_after = self.judge.baseline.stall_after(ROUTE);
+        let stall_after = self.detector.baseline.stall_after(ROUTE);
         match health {
             Health::Stalls(share) if self.rng.random_bool(share) => (Kind::Stalled, stall_after),
             Health::Fails(share) if self.rng.random_bool(share) => (Kind::Failed, usual),
@@ -139,9 +139,9 @@
         }
     }
 
-    /// A reporter says that a request is stalled before it ends.
+    /// A reporter reports a request as stalled before the request ends.
     fn as_seen(&self, elapsed: Duration) -> (Kind, Duration) {
-        let stall_after = self.judge.baseline.stall_after(ROUTE);
+        let stall_after = self.detector.baseline.stall_after(ROUTE);
         match elapsed > stall_after {
             true => (Kind::Stalled, stall_after),
             false => (Kind::Answered, elapsed),
@@ -163,12 +163,12 @@
         priority: Priority(0),
         organisation: seq % 3,
         weight: 1,
-        bulky: false,
+        long_answer: false,
         send: SendKind::First,
-        brings_part: true,
+        brings_share: true,
         avoid: Vec::new(),
         closed: Vec::new(),
-        places: None,
+        domains: None,
         limits: Vec::new(),
         left: SECOND,
         is_last: false,
--- a/crates/policy/src/tests/floor.rs
+++ b/crates/policy/src/tests/floor.rs
@@ -1,17 +1,19 @@
+//! The floor of a rotation under random events.
+
 use std::time::Duration;
 
 use proptest::prelude::*;
 use resources::Bias;
 
 use super::fixture::service;
-use crate::rotation::{Rotation, SETTLE, State, domain_floors};
+use crate::rotation::{FLOOR_SETTLE_TIME, Rotation, State, domain_floors};
 use crate::{Change, Time};
 
-/// What may happen to a rotation.
+/// An event in a rotation.
 #[derive(Clone, Debug)]
 enum Event {
     Good(usize),
-    Sick(usize),
+    Unhealthy(usize),
     Leave(usize),
     Wait(u64),
     /// A new configuration with other sizes and another floor.
@@ -25,7 +27,7 @@
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         8 => (0..18_usize).prop_map(Event::Good),
-        8 => (0..18_usize).prop_map(Event::Sick),
+        8 => (0..18_usize).prop_map(Event::Unhealthy),
         1 => (0..18_usize).prop_map(Event::Leave),
         3 => (1..12_000_u64).prop_map(Event::Wait),
         1 => (sizes(), 0..18_usize).prop_map(|(sizes, floor)| Event::Reconfigure(sizes, floor)),
@@ -48,12 +50,12 @@
         let now = self.now;
         match event {
             Event::Good(i) if self.rotation.endpoints()[i % n].state != State::Leaving => {
-                self.rotation.good(now, i % n);
-                self.rotation.clear(now, i % n);
+                self.rotation.record_good(now, i % n);
+                self.rotation.clear_suspicion(now, i % n);
             }
             Event::Good(_) => {}
-            Event::Sick(i) => self.rotation.eject(now, i % n, "test"),
-            Event::Leave(i) => self.rotation.leave(now, i % n),
+            Event::Unhealthy(i) => self.rotation.eject(now, i % n, "test"),
+            Event::Leave(i) => self.rotation.mark_leaving(now, i % n),
             Event::Wait(ms) => self.now = now + Duration::from_millis(*ms),
             Event::Reconfigure(sizes, floor) => {
                 self.rotation.reconfigure(now, &service(sizes, *floor, Bias::Speed));
@@ -75,7 +77,7 @@
         own.filter(|it| is(it.state)).count()
     }
 
-    /// No ejection leaves fewer in rotation than the floor; departures are not ejections.
+    /// No ejection leaves fewer endpoints in rotation than the floor; departures are not ejections.
     fn check_floor(&self) -> Result<(), TestCaseError> {
         for domain in self.domains() {
             let floor = self.rotation.floor_of(self.now, &domain);
@@ -90,8 +92,8 @@
         Ok(())
     }
 
-    /// At an ejection the endpoints that stay carry the floor with fresh proof of health.
-    fn check_proof(&self, changes: &[Change]) -> Result<(), TestCaseError> {
+    /// At an ejection the remaining endpoints meet the floor with recent good answers.
+    fn check_recent_health(&self, changes: &[Change]) -> Result<(), TestCaseError> {
         let is_new_ejection = |it: &&Change| {
             matches!(it.to, State::Ejected { .. }) && !matches!(it.from, State::Trial { .. })
         };
@@ -99,8 +101,8 @@
             let Some(i) = self.rotation.position(&it.id) else { continue };
             let domain = &self.rotation.endpoints()[i].failure_domain;
             let own = self.rotation.endpoints().iter().filter(|it| it.failure_domain == *domain);
-            let proven = own.filter(|it| it.is_proven(self.now)).count();
-            prop_assert!(proven >= self.rotation.floor_of(self.now, domain));
+            let healthy = own.filter(|it| it.is_recently_healthy(self.now)).count();
+            prop_assert!(healthy >= self.rotation.floor_of(self.now, domain));
         }
         Ok(())
     }
@@ -119,21 +121,21 @@
         for event in &events {
             let changes = driver.apply(event);
             driver.check_floor()?;
-            driver.check_proof(&changes)?;
+            driver.check_recent_health(&changes)?;
         }
     }
 
-    /// Judges that see different worlds: whichever of them a node follows in each failure domain,
-    /// the endpoints in rotation carry the service's floor.
+    /// Detectors with different views: whichever of them a node follows in each failure domain, the
+    /// endpoints in rotation meet the service's floor.
     #[test]
-    fn judges_that_disagree_keep_the_floor_together(
+    fn detectors_that_disagree_keep_the_floor_together(
         sizes in sizes(),
         floor in 0..18_usize,
-        worlds in prop::collection::vec(prop::collection::vec(event(), 1..60), 3),
+        views in prop::collection::vec(prop::collection::vec(event(), 1..60), 3),
         choice in prop::collection::vec(0..3_usize, 3),
     ) {
         let is_steady = |it: &&Event| !matches!(it, Event::Leave(_) | Event::Reconfigure(..));
-        let drivers: Vec<Driver> = worlds.iter().map(|events| {
+        let drivers: Vec<Driver> = views.iter().map(|events| {
             let mut driver = Driver::new(&sizes, floor);
             for it in events.iter().filter(is_steady) {
                 driver.apply(it);
@@ -142,7 +144,7 @@
         }).collect();
         let domains = drivers[0].domains();
         let in_rotation: usize = domains.iter().zip(choice.iter().cycle())
-            .map(|(domain, judge)| drivers[*judge].count(domain, State::in_rotation))
+            .map(|(domain, detector)| drivers[*detector].count(domain, State::in_rotation))
             .sum();
         let total: usize = sizes.iter().sum();
         prop_assert!(in_rotation >= floor.min(total));
@@ -161,11 +163,11 @@
 }
 
 #[test]
-fn a_sick_endpoint_that_the_floor_keeps_is_used_last() {
+fn an_unhealthy_endpoint_that_the_floor_keeps_is_used_last() {
     let mut driver = Driver::new(&[2], 2);
     driver.apply(&Event::Good(0));
     driver.apply(&Event::Good(1));
-    driver.apply(&Event::Sick(0));
+    driver.apply(&Event::Unhealthy(0));
     assert_eq!(driver.rotation.endpoints()[0].state, State::Suspect);
 }
 
@@ -173,7 +175,7 @@
 fn a_raised_floor_brings_endpoints_back() {
     let mut driver = Driver::new(&[3], 1);
     (0..3).for_each(|i| drop(driver.apply(&Event::Good(i))));
-    driver.apply(&Event::Sick(0));
+    driver.apply(&Event::Unhealthy(0));
     assert_eq!(driver.rotation.endpoints()[0].state.name(), "ejected");
     driver.apply(&Event::Reconfigure(vec![3], 3));
     assert_eq!(driver.rotation.endpoints()[0].state, State::Suspect);
@@ -185,15 +187,15 @@
     (0..3).for_each(|i| drop(driver.apply(&Event::Good(i))));
     driver.apply(&Event::Reconfigure(vec![3], 1));
     assert_eq!(driver.rotation.floor_of(driver.now, "a"), 3);
-    driver.now = driver.now + SETTLE;
+    driver.now = driver.now + FLOOR_SETTLE_TIME;
     assert_eq!(driver.rotation.floor_of(driver.now, "a"), 1);
 }
 
 #[test]
-fn old_proof_of_health_does_not_count() {
+fn an_old_good_answer_does_not_count() {
     let mut driver = Driver::new(&[3], 2);
     (0..3).for_each(|i| drop(driver.apply(&Event::Good(i))));
     driver.apply(&Event::Wait(11_000));
-    driver.apply(&Event::Sick(0));
+    driver.apply(&Event::Unhealthy(0));
     assert_eq!(driver.rotation.endpoints()[0].state, State::Suspect);
 }
--- a/crates/policy/src/tests/floor_model.rs
+++ b/crates/policy/src/tests/floor_model.rs
@@ -1,10 +1,10 @@
-//! A model of the floor under several judges while a new configuration spreads.
+//! A model of the floor with several detectors while a new configuration spreads.
 //!
-//! One judge for each of two failure domains ejects on its own word. The old and the new
-//! configuration keep the same floor of the service but split it the other way round. Each judge may
-//! come to know the new configuration at any time; all know it before the first has settled, which
-//! is what `SETTLE` stands for. The specification is explored exhaustively, and random schedules of
-//! the same steps are run through the production rotation beside it.
+//! For each of two failure domains one detector ejects independently. The old and the new
+//! configuration have the same floor for the service but split it differently. Each detector may
+//! receive the new configuration at any time; all receive it before the first has settled, which is
+//! the assumption behind `FLOOR_SETTLE_TIME`. The specification is explored exhaustively, and random schedules
+//! of the same steps are compared with the production rotation.
 
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 
 use super::fixture::service;
 use crate::Time;
-use crate::rotation::{Rotation, SETTLE, State};
+use crate::rotation::{FLOOR_SETTLE_TIME, Rotation, State};
 
 /// Endpoints in each failure domain.
 const SIZE: usize = 3;
@@ -22,24 +22,25 @@
 const SPLITS: [[usize; 2]; 2] = [[2, 1], [1, 2]];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Seen {
+enum ConfigPhase {
     Old,
     Settling,
     Settled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Judge {
-    seen: Seen,
+struct Detector {
+    phase: ConfigPhase,
     ejected: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct World {
-    judges: [Judge; 2],
-    /// Whether the stricter of both floors holds while a judge settles.
+    detectors: [Detector; 2],
+    /// Whether the stricter of both floors applies while a detector settles.
     settles: bool,
-    /// Whether each judge keeps its own part, or counts on the others' endpoints as it last saw them.
+    /// Whether each detector keeps its own share of the floor, or relies on the other failure
+    /// domain's endpoints as last seen.
     splits: bool,
 }
 
@@ -47,7 +48,7 @@
 enum Step {
     Eject(usize),
     Readmit(usize),
-    See(usize),
+    Receive(usize),
     Settle(usize),
 }
 
@@ -56,47 +57,53 @@
     Step::Eject(1),
     Step::Readmit(0),
     Step::Readmit(1),
-    Step::See(0),
-    Step::See(1),
+    Step::Receive(0),
+    Step::Receive(1),
     Step::Settle(0),
     Step::Settle(1),
 ];
 
-const START: World =
-    World { judges: [Judge { seen: Seen::Old, ejected: 0 }; 2], settles: true, splits: true };
+const START: World = World {
+    detectors: [Detector { phase: ConfigPhase::Old, ejected: 0 }; 2],
+    settles: true,
+    splits: true,
+};
 
 impl World {
     fn floor(&self, j: usize) -> usize {
         let [old, new] = [SPLITS[0][j], SPLITS[1][j]];
-        match self.judges[j].seen {
-            Seen::Old => old,
-            Seen::Settling if self.settles => old.max(new),
-            Seen::Settling | Seen::Settled => new,
+        match self.detectors[j].phase {
+            ConfigPhase::Old => old,
+            ConfigPhase::Settling if self.settles => old.max(new),
+            ConfigPhase::Settling | ConfigPhase::Settled => new,
         }
     }
 
-    /// The world after a step, or nothing if the step is not possible.
+    /// The world after a step, or `None` if the step is not possible.
     fn step(mut self, step: Step) -> Option<Self> {
-        let all_have_seen = self.judges.iter().all(|it| it.seen != Seen::Old);
+        let all_have_received = self.detectors.iter().all(|it| it.phase != ConfigPhase::Old);
         match step {
             Step::Eject(j) => {
-                // Without parts a judge counts on all endpoints of the others, as it last saw them.
+                // Without shares a detector counts all endpoints of the other failure domain, as
+                // last seen.
                 let others = if self.splits { 0 } else { SIZE };
                 let floor = if self.splits { self.floor(j) } else { FLOOR };
-                let left = SIZE - self.judges[j].ejected;
+                let left = SIZE - self.detectors[j].ejected;
                 if left == 0 || others + left - 1 < floor {
                     return None;
                 }
-                self.judges[j].ejected += 1;
+                self.detectors[j].ejected += 1;
             }
-            Step::Readmit(j) if self.judges[j].ejected > 0 => self.judges[j].ejected -= 1,
-            Step::See(j) if self.judges[j].seen == Seen::Old => {
-                self.judges[j].seen = Seen::Settling;
+            Step::Readmit(j) if self.detectors[j].ejected > 0 => self.detectors[j].ejected -= 1,
+            Step::Receive(j) if self.detectors[j].phase == ConfigPhase::Old => {
+                self.detectors[j].phase = ConfigPhase::Settling;
                 let most = if self.splits { SIZE - self.floor(j) } else { SIZE };
-                self.judges[j].ejected = self.judges[j].ejected.min(most);
+                self.detectors[j].ejected = self.detectors[j].ejected.min(most);
             }
-            Step::Settle(j) if self.judges[j].seen == Seen::Settling && all_have_seen => {
-                self.judges[j].seen = Seen::Settled;
+            Step::Settle(j)
+                if self.detectors[j].phase == ConfigPhase::Settling && all_have_received =>
+            {
+                self.detectors[j].phase = ConfigPhase::Settled;
             }
             _ => return None,
         }
@@ -108,17 +115,17 @@
     }
 
     fn is_below_floor(&self) -> bool {
-        let left: usize = self.judges.iter().map(|it| SIZE - it.ejected).sum();
+        let left: usize = self.detectors.iter().map(|it| SIZE - it.ejected).sum();
         left < FLOOR
     }
 }
 
 #[test]
-fn the_floor_holds_whatever_each_judge_knows() {
+fn the_floor_holds_whatever_each_detector_knows() {
     assert_eq!(bfs(&START, World::successors, World::is_below_floor), None);
     let states = bfs_reach(START, World::successors).count();
     println!("{states} states, all that can be reached");
-    assert!(states > 30, "the model has {states} states: too few to mean anything");
+    assert!(states > 30, "the model has {states} states: too few for a meaningful check");
 }
 
 #[test]
@@ -126,12 +133,14 @@
     let broken = [World { settles: false, ..START }, World { splits: false, ..START }];
     for start in broken {
         let schedule = bfs(&start, World::successors, World::is_below_floor);
-        println!("below the floor after {} steps", schedule.expect("it is caught").len() - 1);
+        println!(
+            "below the floor after {} steps",
+            schedule.expect("the broken rule is caught").len() - 1
+        );
     }
 }
 
-/// The split of production for sizes of three and the floors of the model: the rotation of a judge
-/// that covers one failure domain.
+/// The rotation of production code for one failure domain of the model.
 struct Production {
     rotation: Rotation,
     now: Time,
@@ -139,7 +148,7 @@
 }
 
 /// A service whose failure domain `domain` has the floor of the given configuration. Production
-/// splits a floor evenly, so each domain stands here for a service of its own.
+/// splits a floor evenly, so each failure domain is represented by a service of its own.
 fn configuration(domain: usize, which: usize) -> Service {
     service(&[SIZE], SPLITS[which][domain], Bias::Speed)
 }
@@ -156,31 +165,32 @@
     }
 
     fn apply(&mut self, step: Step) {
-        (0..SIZE).for_each(|i| self.prove(i));
+        (0..SIZE).for_each(|i| self.confirm_healthy(i));
         match step {
             Step::Eject(_) => {
-                let well =
+                let healthy =
                     (0..SIZE).find(|i| self.rotation.endpoints()[*i].state == State::Healthy);
-                if let Some(i) = well {
+                if let Some(i) = healthy {
                     self.rotation.eject(self.now, i, "test");
                 }
             }
             Step::Readmit(_) => {
                 let out = (0..SIZE)
                     .find(|i| matches!(self.rotation.endpoints()[*i].state, State::Ejected { .. }));
-                self.rotation.readmit_for_test(self.now, out.expect("the model has one out"));
+                self.rotation
+                    .readmit_for_test(self.now, out.expect("the model has an ejected endpoint"));
             }
-            Step::See(_) => self.rotation.reconfigure(self.now, &configuration(self.domain, 1)),
-            Step::Settle(_) => self.now = self.now + SETTLE,
+            Step::Receive(_) => self.rotation.reconfigure(self.now, &configuration(self.domain, 1)),
+            Step::Settle(_) => self.now = self.now + FLOOR_SETTLE_TIME,
         }
-        (0..SIZE).for_each(|i| self.prove(i));
+        (0..SIZE).for_each(|i| self.confirm_healthy(i));
     }
 
-    /// Endpoints that are in rotation are well.
-    fn prove(&mut self, i: usize) {
+    /// Endpoints in rotation are healthy.
+    fn confirm_healthy(&mut self, i: usize) {
         if self.rotation.endpoints()[i].state.in_rotation() {
-            self.rotation.good(self.now, i);
-            self.rotation.clear(self.now, i);
+            self.rotation.record_good(self.now, i);
+            self.rotation.clear_suspicion(self.now, i);
         }
     }
 }
@@ -191,7 +201,7 @@
         let mut world = START;
         let mut production = [Production::new(0), Production::new(1)];
         for step in steps.into_iter().map(|i| STEPS[i]) {
-            let (Step::Eject(j) | Step::Readmit(j) | Step::See(j) | Step::Settle(j)) = step;
+            let (Step::Eject(j) | Step::Readmit(j) | Step::Receive(j) | Step::Settle(j)) = step;
             let is_eject = matches!(step, Step::Eject(_));
             match world.step(step) {
                 Some(next) => {
@@ -202,7 +212,7 @@
                 None if is_eject => production[j].apply(step),
                 None => {}
             }
-            prop_assert_eq!(production[j].ejected(), world.judges[j].ejected, "{:?}", step);
+            prop_assert_eq!(production[j].ejected(), world.detectors[j].ejected, "{:?}", step);
         }
     }
 }
--- a/crates/policy/src/tests/notices.rs
+++ b/crates/policy/src/tests/notices.rs
@@ -36,7 +36,7 @@
 #[test]
 fn a_node_that_is_asked_to_back_off_sends_nothing_until_that_is_over() {
     let (mut it, mut rng) = dispatcher(&service(&[1], 1, Bias::Balanced));
-    it.noticed(Time(0), NodeId(1), "i-1000", 0, Notice::Rest(BACK_OFF));
+    it.noticed(Time(0), NodeId(1), "i-1000", 0, Notice::Backoff(BACK_OFF));
     for ms in [0, 500, 1_500, 2_900] {
         let now = Time(0) + Duration::from_millis(ms);
         assert_eq!(it.ask(now, ask_of(1, ms), &mut rng), Reply::Full, "{ms}");
@@ -60,7 +60,7 @@
     let (it, _) = after_a_lapse(Notice::Leaving);
     assert!(it.is_closed(back_at, NodeId(1), "i-1000", 0));
     assert_eq!(it.endpoints()[0].state, State::Leaving);
-    let (it, _) = after_a_lapse(Notice::Rest(BACK_OFF));
+    let (it, _) = after_a_lapse(Notice::Backoff(BACK_OFF));
     assert!(it.is_closed(back_at, NodeId(1), "i-1000", 0));
     let limit = RateLimit::from_per_second(2.0);
     let (it, _) = after_a_lapse(Notice::RateLimit(limit));
@@ -94,14 +94,17 @@
         ("first, asked again", Ask { send: SendKind::FirstAgain, ..plain.clone() }),
         ("repeat", Ask { send: SendKind::Further, wait: true, ..plain.clone() }),
         ("hedge", Ask { send: SendKind::Further, ..plain.clone() }),
-        ("remainder of a download", Ask { send: SendKind::Further, bulky: true, ..plain.clone() }),
+        (
+            "remainder of a download",
+            Ask { send: SendKind::Further, long_answer: true, ..plain.clone() },
+        ),
         ("last send", Ask { is_last: true, wait: true, ..plain.clone() }),
         ("must not repeat", Ask { repeatable: false, wait: true, ..plain }),
     ];
     for health in HEALTH {
         let free = sends.iter().filter(|(_, ask)| reaches(health, None, ask)).count();
         assert!(free > 0, "{}: no send goes there even without a notice", health.0);
-        for notice in [Notice::Leaving, Notice::Rest(BACK_OFF), limit] {
+        for notice in [Notice::Leaving, Notice::Backoff(BACK_OFF), limit] {
             for (name, ask) in &sends {
                 let is_sent = reaches(health, Some(notice), ask);
                 assert!(!is_sent, "{}, {notice:?}: {name}", health.0);
--- a/crates/policy/src/tests/rate_limit.rs
+++ b/crates/policy/src/tests/rate_limit.rs
@@ -1,3 +1,5 @@
+//! Sends to endpoints under a rate limit.
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -7,9 +9,9 @@
 use resources::{Bias, Service, Standing};
 
 use super::fixture::{BUDGET, SECOND, TERMS, ask, service};
-use crate::rate_limit::Pace;
+use crate::rate_limit::Pacer;
 use crate::{
-    Ask, Dispatcher, HeardLimit, Kind, NodeId, Notice, Precedence, RateLimit, Reply, Time,
+    Ask, Dispatcher, Kind, NodeId, Notice, ObservedLimit, Precedence, RateLimit, Reply, Time,
 };
 
 const MS: u64 = 1_000;
@@ -27,7 +29,7 @@
     (Dispatcher::new(at(0), service, &[TERMS], BUDGET), StdRng::seed_from_u64(1))
 }
 
-/// One endpoint with three slots that names a limit, and nobody else.
+/// A dispatcher of a single endpoint with three slots that states a limit.
 fn limited(per_s: f64) -> (Dispatcher, StdRng) {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, rng) = dispatcher(&service);
@@ -35,7 +37,8 @@
     (it, rng)
 }
 
-/// Grants by endpoint and time in milliseconds while `rate` requests a second come that take `WORK` and wait.
+/// Times of the grants, in milliseconds, for `rate` requests a second that take `WORK` and may
+/// wait.
 fn grants(it: &mut Dispatcher, rng: &mut StdRng, rate: u64, from_ms: u64, to_ms: u64) -> Vec<u64> {
     let mut granted = Vec::new();
     let mut open = BTreeMap::new();
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn a_limited_endpoint_gets_what_it_takes_and_no_more() {
+fn a_limited_endpoint_gets_its_rate_and_no_more() {
     for per_s in [0.5, 2.0, 8.0] {
         let (mut it, mut rng) = limited(per_s);
         let granted = grants(&mut it, &mut rng, 30, 0, 20_000).len() as f64;
@@ -78,14 +81,14 @@
 }
 
 #[test]
-fn a_limit_of_nothing_lets_its_end_be_noticed() {
+fn a_limit_of_zero_still_allows_sends_that_show_its_end() {
     let (mut it, mut rng) = limited(0.0);
     let granted = grants(&mut it, &mut rng, 30, 0, 20_000);
     assert!((3..=6).contains(&granted.len()), "{granted:?}");
 }
 
 #[test]
-fn a_limit_ends_with_the_answer_that_names_none() {
+fn a_limit_ends_with_the_answer_that_states_none() {
     let (mut it, mut rng) = limited(0.5);
     grants(&mut it, &mut rng, 30, 0, 4_000);
     assert!(it.noticed(at(4_000), NodeId(1), "i-1000", 0, Notice::RateLimit(None)));
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn the_next_life_of_an_endpoint_has_no_limit() {
+fn the_next_incarnation_of_an_endpoint_has_no_limit() {
     let mut service = service(&[1], 1, Bias::Balanced);
     let (mut it, _) = dispatcher(&service);
     it.noticed(at(0), NodeId(1), "i-1000", 0, Notice::RateLimit(limit(1.0)));
@@ -109,11 +112,11 @@
     let (mut it, mut rng) = dispatcher(&service);
     it.noticed(at(0), NodeId(1), "i-1000", 0, Notice::RateLimit(limit(1.0)));
     let granted = grants(&mut it, &mut rng, 50, 0, 10_000);
-    assert_eq!((granted.len(), it.queued()), (499, 0), "nobody waits for the limited one");
+    assert_eq!((granted.len(), it.queued()), (499, 0), "no request waits for the limited endpoint");
 }
 
 #[test]
-fn what_no_limit_leaves_room_for_is_refused_at_once() {
+fn requests_beyond_a_limit_are_refused_at_once() {
     let (mut it, mut rng) = limited(1.0);
     let ask_at = |it: &mut Dispatcher, rng: &mut StdRng, seq| {
         it.ask(at(1_000), Ask { left: 2 * SECOND, ..ask(seq, true) }, rng)
@@ -139,33 +142,33 @@
 }
 
 #[test]
-fn who_takes_over_goes_by_what_askers_were_told() {
+fn a_successor_follows_the_limits_that_askers_observed() {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
-    let heard = HeardLimit {
+    let observed = ObservedLimit {
         endpoint: service.endpoints[0].addr,
         limit: limit(1.0).unwrap(),
         age_ms: 100,
         sent_ms: Some(400),
     };
-    let told = |seq| Ask { limits: vec![heard], wait: false, ..ask(seq, true) };
-    assert_eq!(it.ask(at(5_000), told(0), &mut rng), Reply::Full);
+    let with_limit = |seq| Ask { limits: vec![observed], wait: false, ..ask(seq, true) };
+    assert_eq!(it.ask(at(5_000), with_limit(0), &mut rng), Reply::Full);
     assert_eq!(it.ask(at(5_900), ask(1, false), &mut rng), Reply::Full);
     assert!(matches!(it.ask(at(6_000), ask(2, false), &mut rng), Reply::Granted(_)));
 }
 
 #[test]
-fn an_older_word_of_an_asker_undoes_no_newer_one() {
+fn an_older_limit_of_an_asker_overrides_no_newer_one() {
     let service = service(&[1], 1, Bias::Balanced);
     let (mut it, mut rng) = dispatcher(&service);
     it.noticed(at(5_000), NodeId(1), "i-1000", 0, Notice::RateLimit(None));
-    let heard = HeardLimit {
+    let observed = ObservedLimit {
         endpoint: service.endpoints[0].addr,
         limit: limit(1.0).unwrap(),
         age_ms: 300,
         sent_ms: None,
     };
-    it.ask(at(5_100), Ask { limits: vec![heard], ..ask(0, true) }, &mut rng);
+    it.ask(at(5_100), Ask { limits: vec![observed], ..ask(0, true) }, &mut rng);
     assert_eq!(it.evidence_of(at(5_100), 0).rate_limit, None);
 }
 
@@ -195,14 +198,14 @@
         per_s in 0.0..20.0_f64,
         pauses in prop::collection::vec(0..2_000_u64, 1..200),
     ) {
-        let mut pace = Pace::default();
-        pace.hear(at(0), at(0), limit(per_s));
+        let mut pacer = Pacer::default();
+        pacer.observe(at(0), at(0), limit(per_s));
         let mut now = at(0);
         let mut sent = Vec::new();
         for pause in pauses {
             now = now + Duration::from_millis(pause);
-            if pace.allows(now, 1) {
-                pace.sent(now, 1);
+            if pacer.allows(now, 1) {
+                pacer.sent(now, 1);
                 sent.push(now);
             }
         }
@@ -215,7 +218,7 @@
     }
 }
 
-/// Endpoints of a service that bear four requests a second while they are cold.
+/// A service whose endpoints handle four requests a second while they are cold.
 fn cold(warm_up_ms: u32) -> Service {
     let mut it = service(&[2], 1, Bias::Balanced);
     it.cold_rate_per_s = 4.0;
@@ -224,7 +227,7 @@
     it
 }
 
-/// Requests a second that go to the first endpoint, of 60 that are answered at once.
+/// How many of 60 requests a second, all answered at once, go to the first endpoint.
 fn sends_a_second(it: &mut Dispatcher, rng: &mut StdRng, from_s: u64, seconds: u64) -> Vec<usize> {
     let mut sends = Vec::new();
     for s in from_s..from_s + seconds {
@@ -242,9 +245,9 @@
     sends
 }
 
-/// At any moment an endpoint may become cold again, and what it then fails costs nobody a slot for long.
+/// An endpoint may become cold again at any time and is then limited until it is warm.
 #[test]
-fn a_cold_endpoint_gets_what_it_bears_until_it_is_warm() {
+fn a_cold_endpoint_gets_its_cold_rate_until_it_is_warm() {
     let warm = cold(0);
     let (mut it, mut rng) = dispatcher(&warm);
     assert!(sends_a_second(&mut it, &mut rng, 0, 1)[0] > 20);
@@ -252,7 +255,7 @@
     let sends = sends_a_second(&mut it, &mut rng, 1, 3);
     assert!((2..=5).contains(&sends[0]) && (2..=5).contains(&sends[1]), "{sends:?}");
     assert!(sends[2] > 20, "{sends:?}");
-    // The registry says the same again, which makes it no colder.
+    // The registry repeats its statement, which does not make the endpoint cold again.
     it.reconfigure(at(4_000), &cold(2_000), &[TERMS]);
     assert!(sends_a_second(&mut it, &mut rng, 4, 1)[0] > 20);
 }
@@ -269,9 +272,9 @@
     assert!(sends[3] > 20, "{sends:?}");
 }
 
-/// A node that picks for itself does not know what the others send.
+/// A node that dispatches only for itself does not know the sends of the others.
 #[test]
-fn nodes_that_pick_for_themselves_share_what_a_cold_endpoint_bears() {
+fn nodes_that_pick_for_themselves_share_the_rate_of_a_cold_endpoint() {
     let service = cold(3_000);
     let mut sends = 0;
     for node in 0..20 {
--- a/crates/policy/src/tests/retry.rs
+++ b/crates/policy/src/tests/retry.rs
@@ -1,8 +1,8 @@
-//! A model of sending one request, explored exhaustively with the rules that run in production.
+//! A model of sending one request, explored exhaustively with the production rules.
 //!
-//! The environment decides how each send really went and what the sender can tell of it. Two things
-//! must hold in every reachable state: a request that may not be repeated runs at most once, and a
-//! request whose caller is told "not run" has not run.
+//! The environment decides how each send really ended and what the sender observes. In every
+//! reachable state, a request that must not be repeated has run at most once, and a request whose
+//! caller is told "not run" has not run.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 enum Reality {
     /// No connection, or refused by the upstream before any work.
     Refused,
-    /// Written, but lost before it ran; the sender cannot tell.
+    /// Written, but lost before the request ran; the sender cannot tell.
     LostBefore,
     /// Ran, and the answer is lost, late or cancelled.
     LostAfter,
@@ -34,14 +34,14 @@
     sends: u32,
     unknown_before: bool,
     tokens: u32,
-    late: bool,
-    /// Sends that are cancelled but may still run: a frozen upstream wakes up late.
-    adrift: u32,
-    told: Option<Told>,
+    is_late: bool,
+    /// Cancelled sends that may still run, as when a frozen upstream resumes.
+    cancelled: u32,
+    reported: Option<Reported>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum Reported {
     Answer,
     NotRun,
     Unknown,
@@ -49,38 +49,38 @@
 
 type Rule = fn(Outcome, Attempt) -> Next;
 
-fn starts() -> Vec<State> {
-    let mut starts = Vec::new();
+fn initial_states() -> Vec<State> {
+    let mut initial_states = Vec::new();
     for repeat in [Repeat::Anytime, Repeat::IfNotRun, Repeat::Never] {
         for tokens in 0..3 {
-            starts.push(State {
+            initial_states.push(State {
                 repeat,
                 runs: 0,
                 sends: 0,
                 unknown_before: false,
                 tokens,
-                late: false,
-                adrift: 0,
-                told: None,
+                is_late: false,
+                cancelled: 0,
+                reported: None,
             });
         }
     }
-    starts
+    initial_states
 }
 
 fn successors(state: &State, rule: Rule) -> Vec<State> {
     let mut next = Vec::new();
-    if state.adrift > 0 {
-        // A send that was given up runs after all.
-        next.push(State { runs: state.runs + 1, adrift: state.adrift - 1, ..state.clone() });
-        next.push(State { adrift: state.adrift - 1, ..state.clone() });
+    if state.cancelled > 0 {
+        // A cancelled send runs after all, or never.
+        next.push(State { runs: state.runs + 1, cancelled: state.cancelled - 1, ..state.clone() });
+        next.push(State { cancelled: state.cancelled - 1, ..state.clone() });
     }
-    if state.told.is_some() {
+    if state.reported.is_some() {
         return next;
     }
-    if !state.late {
+    if !state.is_late {
         // A pause of this process lets the deadline pass between two sends.
-        next.push(State { late: true, ..state.clone() });
+        next.push(State { is_late: true, ..state.clone() });
     }
     next.extend(REALITIES.iter().map(|it| send(state, *it, rule)));
     next
@@ -97,9 +97,9 @@
         unknown_before: state.unknown_before,
         sends: state.sends + 1,
         max_sends: 3,
-        left: if state.late { Duration::ZERO } else { Duration::from_secs(1) },
+        left: if state.is_late { Duration::ZERO } else { Duration::from_secs(1) },
     };
-    // The budget is asked for the next slot; without one the request ends there.
+    // The budget decides on the next slot; without one the request ends here.
     let mut tokens = state.tokens;
     let next = match rule(outcome, attempt) {
         Next::Again if tokens == 0 => {
@@ -118,37 +118,37 @@
         sends: state.sends + 1,
         unknown_before: state.unknown_before || outcome == Outcome::Unknown,
         tokens,
-        adrift: state.adrift + u32::from(reality == Reality::LostBefore),
-        told: match next {
+        cancelled: state.cancelled + u32::from(reality == Reality::LostBefore),
+        reported: match next {
             Next::Again => None,
-            Next::Deliver => Some(Told::Answer),
-            Next::GiveUpNotRun => Some(Told::NotRun),
-            Next::GiveUpUnknown => Some(Told::Unknown),
+            Next::Deliver => Some(Reported::Answer),
+            Next::GiveUpNotRun => Some(Reported::NotRun),
+            Next::GiveUpUnknown => Some(Reported::Unknown),
         },
         ..state.clone()
     }
 }
 
 fn is_broken(state: &State) -> bool {
-    let doubled = state.repeat != Repeat::Anytime && state.runs > 1;
-    let lied = state.told == Some(Told::NotRun) && state.runs > 0;
-    doubled || lied
+    let ran_twice = state.repeat != Repeat::Anytime && state.runs > 1;
+    let reported_wrongly = state.reported == Some(Reported::NotRun) && state.runs > 0;
+    ran_twice || reported_wrongly
 }
 
 /// The shortest schedule that breaks the rule, if there is one.
 fn counterexample(rule: Rule) -> Option<Vec<State>> {
-    starts().into_iter().find_map(|start| bfs(&start, |it| successors(it, rule), is_broken))
+    initial_states().into_iter().find_map(|start| bfs(&start, |it| successors(it, rule), is_broken))
 }
 
 #[test]
 fn at_most_once_and_not_run_is_true() {
     assert_eq!(counterexample(next_step), None);
-    let states: usize = starts()
+    let states: usize = initial_states()
         .iter()
         .map(|it| bfs_reach(it.clone(), |it| successors(it, next_step)).count())
         .sum();
     println!("{states} states, all that can be reached");
-    assert!(states > 200, "the model has {states} states: too few to mean anything");
+    assert!(states > 200, "the model has {states} states: too few for a meaningful check");
 }
 
 #[test]
