--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Randomized fault soak: the program as many processes on loopback, faults from outside them, and
-//! the promises that callers and endpoints can check while they last.
+//! Randomized fault-injection soak test. Runs many node processes on loopback, injects faults from outside, and checks
+//! the guarantees that callers and endpoints can observe.
 //!
-//! A seed decides the schedule; the processes, the kernel's scheduler and its sockets are real, so
-//! that two plays of a seed differ in their timing. The soak must not know the insides of the nodes:
-//! it sees what callers, endpoints and operators see.
+//! The seed determines the schedule. Processes, the kernel's scheduler and sockets are real, so two runs of the same
+//! seed differ in timing. The soak test must not depend on node internals: it observes only what callers, endpoints and
+//! operators can observe.
 
 mod callers;
 mod cases;
