--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: open-loop requests to each node on connections that are kept.
+//! Simulated callers: open-loop requests to each node over persistent connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 use crate::check::{End, Seen, Target};
 use crate::deployment::{Deployment, ROUTE_LIFE};
 
-/// A caller gives up after this.
+/// Time after which a caller abandons a request.
 const GIVE_UP: Duration = Duration::from_secs(4);
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Sends requests to all nodes until `end`, `rate` a second to each; returns what came of them.
+/// Sends `rate` requests a second to each node until `end` and returns a record of each request.
 pub(crate) async fn call(
     deployment: Arc<Deployment>,
     mut rng: StdRng,
@@ -33,7 +33,7 @@
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(Duration::from_secs(1)));
-    // A request that is sent again unasked would be two for its endpoint.
+    // The client must not retry by itself: the checks would count the second send as a duplicate run.
     let client: HttpClient =
         Client::builder(TokioExecutor::new()).retry_canceled_requests(false).build(connector);
     let seen = Arc::new(Mutex::new(Vec::new()));
