--- a/crates/soak/src/cases.rs
+++ b/crates/soak/src/cases.rs
@@ -1,24 +1,24 @@
-//! Schedules that once broke a promise, or come close to the longest chain of waits.
+//! Named schedules: regression cases that once violated a guarantee, and cases close to the longest chain of timeouts.
 
 use std::time::Duration;
 
 use crate::link;
 use crate::schedule::{Entry, Fault, Schedule, Scope};
 
-/// A schedule with a name.
+/// A named schedule.
 #[derive(Clone, Debug)]
 pub struct Case {
-    /// Names what must not happen.
+    /// Name of the scenario, as given to `cargo xtask soak --case`.
     pub name: &'static str,
     /// Number of nodes.
     pub nodes: usize,
-    /// What happens.
+    /// Faults that the case injects.
     pub schedule: Schedule,
 }
 
-/// How often each case plays its faults.
+/// Number of times that each case repeats its faults.
 const ROUNDS: u64 = 2;
-/// The operator publishes one version.
+/// Publishes a single version: the gap is longer than the entry, so that no second version follows.
 const PUBLISH: Fault = Fault::Storm(Duration::from_secs(60));
 
 fn entry(at_ms: u64, lasts_ms: u64, fault: Fault) -> Entry {
@@ -30,7 +30,7 @@
     Case { name, nodes, schedule: Schedule { entries: entries.into_iter().collect() } }
 }
 
-/// Those who took over a read used connections that had gone silent while nobody used them.
+/// Regression: nodes that took over as reader used connections that had gone silent while idle.
 fn silent_while_idle() -> Case {
     let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 2_000 + i * 9_000;
@@ -43,7 +43,8 @@
     case("connections-silent-while-idle", 12, rounds)
 }
 
-/// Readers whose store is silent told others for a while that they read, and then fell silent themselves.
+/// Regression: readers whose store connection was silent kept announcing themselves as readers for a while before they
+/// stopped responding too.
 fn readers_cut_in_turn() -> Case {
     let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 2_000 + i * 9_000;
@@ -57,7 +58,8 @@
     case("readers-cut-from-the-store-then-frozen", 24, rounds)
 }
 
-/// Every node has read the store and left off, its kept connection goes silent, and the readers are lost in two steps.
+/// Every node has been a reader before and holds an idle connection to the store. All these connections go silent, and
+/// then the current readers are lost in two steps.
 fn successors_on_silent_connections() -> Case {
     let entries = [
         entry(1_000, 2_500, Fault::Cut(Scope::All)),
@@ -71,7 +73,7 @@
     case("successors-on-silent-connections", 24, entries)
 }
 
-/// The store comes back from older copies, also while the nodes that read it are gone.
+/// The store is restored from older copies, in some rounds just before its readers are killed.
 fn store_returns() -> Case {
     let returns = (0..ROUNDS).flat_map(|i| {
         let at = 2_000 + i * 6_000;
@@ -86,7 +88,7 @@
     case("store-comes-back-older", 12, returns)
 }
 
-/// The store is away for all, and a version is published as soon as it is back.
+/// No node reaches the store, and a version is published as soon as the store is reachable again.
 fn store_away() -> Case {
     let away = (0..ROUNDS).flat_map(|i| {
         let at = 1_000 + i * 9_000;
@@ -100,7 +102,7 @@
     case("store-away-for-all", 12, away)
 }
 
-/// All processes end while the store is slow or breaks off its answers.
+/// All processes are killed and restarted while the store is slow or cuts its answers short.
 fn all_start_on_a_sick_store() -> Case {
     let slow = link::Fault::Slow(Duration::from_millis(250));
     let sick = [slow, link::Fault::Broken];
