--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -1,4 +1,4 @@
-//! One play: a deployment, callers, an operator and a schedule.
+//! One soak run: a deployment, callers, an operator and a fault schedule.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -13,48 +13,48 @@
 use crate::deployment::Deployment;
 use crate::schedule::{Entry, Schedule};
 
-/// Pauses of the operator between two versions.
+/// Range of pauses between two versions that the operator publishes.
 const VERSION_GAP_MS: std::ops::Range<u64> = 400..2_500;
-/// Memory that a node may use, in MB.
+/// Maximum resident memory of a node, in MB.
 const MAX_MEMORY_MB: f64 = 256.0;
-/// Log lines of a node that are kept in a second, and their length in bytes, all kinds together.
+/// Maximum log output of a node in bytes per second, over all kinds of log lines.
 const MAX_LOG_BYTES_PER_S: u64 = 400_000;
 
-/// What is played.
+/// Parameters of a soak run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Decides the schedule and what callers ask for.
+    /// Seeds the random choices of the operator and the callers.
     pub seed: u64,
-    /// For how long callers send.
+    /// Time for which callers send requests.
     pub length: Duration,
     /// Number of nodes.
     pub nodes: usize,
-    /// Requests a second to each node.
+    /// Requests a second that callers send to each node.
     pub rate: f64,
 }
 
-/// What came of a play.
+/// Result of a soak run.
 #[derive(Debug)]
 pub struct Outcome {
     /// Requests that callers sent.
     pub requests: usize,
-    /// Requests that endpoints ran for them.
+    /// Requests that were answered by an endpoint.
     pub answered: usize,
-    /// Requests that a node in touch handled.
+    /// Requests that an undisturbed node handled; only these are checked against the freshness bound.
     pub in_touch: usize,
-    /// Longest time after the acknowledgement of a version for which a node in touch used an older one.
+    /// Longest time after the acknowledgement of a version for which an undisturbed node still used an older version.
     pub longest_lag: Duration,
-    /// Longest time from a start of a process until it served.
+    /// Longest time from the start of a process to its first successful answer.
     pub longest_start: Duration,
-    /// Versions that were published.
+    /// Number of versions that were published.
     pub versions: usize,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub broken: Vec<Broken>,
-    /// Where the logs are, if a promise was broken.
+    /// Directory of the node logs, kept if a guarantee was violated.
     pub logs: Option<PathBuf>,
 }
 
-/// Plays a schedule with the program at `bin`.
+/// Runs a schedule against nodes of the program at `bin`.
 pub async fn play(bin: &Path, options: &Options, schedule: &Schedule) -> anyhow::Result<Outcome> {
     let deployment = Arc::new(Deployment::start(bin, options.nodes).await?);
     let start = Instant::now();
