--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The processes, the stand-ins beside them, and the operator's versions.
+//! The node processes, the stand-ins around them, and the configuration versions that the operator publishes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,26 +21,27 @@
 use crate::link::{self, Link};
 use crate::schedule::{Fault, Scope};
 
-/// Failure domains.
+/// Failure domains over which nodes and endpoints are spread.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
-/// Each version moves a route to the next of these, so that an answer tells the version that it was sent by.
+/// Number of services. Each version moves the routes to the next service, so that the service in an answer identifies
+/// the version under which the request was handled.
 pub(crate) const SERVICES: u64 = 16;
-/// A route that a version adds is dropped by the version that comes this many later.
+/// Number of versions for which a route that a version adds exists.
 pub(crate) const ROUTE_LIFE: u64 = 8;
-/// Endpoints of each service.
+/// Number of endpoints of each service.
 const ENDPOINTS: usize = 2;
-/// Nodes that others know at their start.
+/// Number of nodes that serve as seeds for the others.
 const SEEDS: usize = 3;
-/// Time for the first start of all nodes.
+/// Limit for the first start of all nodes.
 const START: Duration = Duration::from_secs(60);
-/// A planned stop that lasts longer than this is ended.
+/// Limit for a planned stop; a process that is still running after it is killed.
 const STOP: Duration = Duration::from_secs(6);
-/// Time for an answer to an operator; a process that stands still gives none.
+/// Limit for an answer of the operator API; a frozen process does not answer.
 const ANSWER: Duration = Duration::from_millis(300);
-/// A revision that the store may come back from is at least this.
+/// Lowest revision that the store may be restored to.
 const FIRST_REVISION: u64 = 1;
 
-/// All that one play starts.
+/// Everything that a soak run starts.
 pub(crate) struct Deployment {
     nodes: Vec<tokio::sync::Mutex<Node>>,
     addrs: Vec<NodeAddrs>,
@@ -100,20 +101,20 @@
         Ok(it)
     }
 
-    /// Where callers connect.
+    /// Addresses of the nodes for callers.
     pub(crate) fn targets(&self) -> Vec<SocketAddr> {
         self.addrs.iter().map(|it| it.traffic).collect()
     }
 
-    /// Which service an endpoint belongs to.
+    /// Returns the service that an endpoint belongs to.
     pub(crate) fn service_of(&self, endpoint: &str) -> Option<u64> {
         let i = self.upstreams.iter().position(|it| it.name() == endpoint)?;
         Some((i / ENDPOINTS) as u64)
     }
 
-    /// Publishes the next version.
+    /// Publishes the next version and returns its number.
     pub(crate) fn publish(&self) -> u64 {
-        // Versions are numbered from 1 on, without gaps.
+        // Versions are numbered without gaps, starting at 1.
         let mut history = self.history.lock();
         let number = history.versions.last().map_or(1, |it| it.number + 1);
         let published = self.platform.publish(&self.resources(number));
@@ -146,7 +147,7 @@
         all.map(|it| serde_json::from_value(it).expect("the form of resources")).collect()
     }
 
-    /// The nodes that a scope names now.
+    /// Returns the nodes that currently match a scope.
     pub(crate) async fn nodes_in(&self, scope: Scope) -> Vec<usize> {
         let all = 0..self.nodes.len();
         match scope {
@@ -159,7 +160,7 @@
                 let mut readers = Vec::new();
                 for i in all {
                     let node = self.nodes[i].lock().await;
-                    // A node that does not answer reads nothing.
+                    // A node that does not answer is not counted as a reader.
                     let report = timeout(ANSWER, node.report()).await;
                     if report.is_ok_and(|it| it.is_ok_and(|it| it["reads_platform"] == true)) {
                         readers.push(i);
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Plays a fault from its beginning to its end.
+    /// Injects a fault, waits for its duration and ends it.
     pub(crate) async fn suffer(&self, fault: Fault, lasts: Duration) -> anyhow::Result<()> {
         let began = Instant::now();
         match fault {
@@ -254,7 +255,7 @@
 
     async fn signal(&self, nodes: &[usize], name: &str) {
         for i in nodes {
-            // One that does not run any more was killed by another fault.
+            // A node without a process was killed by another fault.
             let _ = self.nodes[*i].lock().await.signal(name);
         }
     }
@@ -276,12 +277,12 @@
 
     async fn cut(&self, nodes: &[usize], from: &[SocketAddr]) {
         for i in nodes {
-            // One that does not answer sends nothing either.
+            // A node that does not answer does not send frames either.
             let _ = timeout(ANSWER, self.nodes[*i].lock().await.cut(from)).await;
         }
     }
 
-    /// Processes that have ended by themselves, and what each holds in MB.
+    /// Returns the state of every node's process.
     pub(crate) async fn processes(&self) -> anyhow::Result<Vec<Process>> {
         let mut all = Vec::new();
         for node in &self.nodes {
@@ -294,15 +295,16 @@
         Ok(all)
     }
 
-    /// Keeps the logs of this play.
+    /// Keeps the directory with the node logs and returns its path.
     pub(crate) fn keep_logs(self) -> PathBuf {
         self.dir.keep()
     }
 }
 
-/// What one process is like at the end of a play.
+/// State of a node's process at the end of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Process {
+    /// Whether the process exited without being stopped by the test.
     pub(crate) has_ended: bool,
     pub(crate) memory_mb: Option<f64>,
     pub(crate) log_bytes: u64,
