--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens when: drawn from a seed, printed line by line.
+//! Fault schedules, generated from a seed.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,50 +8,50 @@
 
 use crate::link;
 
-/// Whom a fault meets.
+/// Nodes that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Scope {
     /// All nodes.
     All,
-    /// This share of them, by a draw of its own.
+    /// A random share of the nodes, selected with a seed of its own.
     Share(f64, u64),
-    /// The nodes that read the store at that moment.
+    /// The nodes that read the store when the fault begins.
     Readers,
 }
 
-/// What happens.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Processes are killed, and started again after the fault's time.
+    /// Kills processes and restarts them at the end of the fault.
     Kill(Scope),
-    /// Processes stand still.
+    /// Stops processes with SIGSTOP until the end of the fault.
     Freeze(Scope),
-    /// A planned stop, and a start.
+    /// Shuts processes down with SIGTERM and starts them again.
     Terminate(Scope),
-    /// The settings are read again.
+    /// Makes processes reload their settings with SIGHUP.
     Hangup(Scope),
-    /// The links to the store.
+    /// Sets a fault on the links between nodes and the store.
     Link(Scope, link::Fault),
-    /// Frames to all other nodes are dropped.
+    /// Drops all frames that the nodes send to other nodes.
     Cut(Scope),
-    /// The store forgets its history.
+    /// Makes the store discard its history of changes.
     Forget,
-    /// The store comes back from a copy this many revisions old.
+    /// Restores the store from a copy that is this many revisions old.
     Return(u64),
-    /// Versions follow each other this quickly.
+    /// Publishes versions with this pause between them.
     Storm(Duration),
 }
 
 /// One line of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// From the start of the callers.
+    /// Time at which the fault begins, counted from the start of the callers.
     pub at: Duration,
-    /// How long it lasts.
+    /// Time for which the fault lasts.
     pub lasts: Duration,
-    /// Whether a version is published as it begins and as it ends.
+    /// Whether a version is published immediately before the fault and another immediately after it.
     pub is_met: bool,
-    /// What happens.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
@@ -63,22 +63,22 @@
     }
 }
 
-/// All that happens in one play.
+/// All faults of one soak run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// By their beginning.
+    /// Entries in the order of their beginning.
     pub entries: Vec<Entry>,
 }
 
-/// Shortest and longest pause between the beginnings of two faults.
+/// Range of times between the beginnings of two faults.
 const GAP_MS: std::ops::Range<u64> = 500..6_000;
-/// Shortest and longest time of a fault.
+/// Range of durations of a fault.
 const LASTS_MS: std::ops::Range<u64> = 50..5_000;
-/// After the last fault the deployment has this long to recover, which is checked.
+/// Time without faults at the end of a run, in which recovery of the deployment is checked.
 pub(crate) const CALM_END: Duration = Duration::from_secs(8);
 
 impl Schedule {
-    /// The schedule of a seed.
+    /// Generates the schedule of a seed.
     pub fn drawn(seed: u64, length: Duration) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut at = Duration::from_millis(rng.random_range(0..2_000));
@@ -88,7 +88,7 @@
             let lasts = Duration::from_millis(rng.random_range(LASTS_MS)).min(end - at);
             let is_met = rng.random_bool(0.5);
             entries.push(Entry { at, lasts, is_met, fault: drawn_fault(&mut rng) });
-            // Some faults begin at the same moment.
+            // Otherwise the next fault begins at the same time.
             if rng.random_bool(0.7) {
                 at += Duration::from_millis(rng.random_range(GAP_MS));
             }
