--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between one node and the store, with the faults of real connections.
+//! A loopback proxy between one node and the store that simulates connection faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,43 +13,44 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Bytes that are passed on at once.
+/// Size of the forwarding buffers in bytes.
 const CHUNK: usize = 16 * 1024;
-/// The end of a request without a body.
+/// Bytes that end a request without a body.
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-/// What a link does to its connections.
+/// Fault of a link, which affects all its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Nothing passes, and nobody is told. Connections of that time stay silent for good.
+    /// Drops all data without closing connections. Connections that are open or opened meanwhile stay silent after the
+    /// fault has ended.
     Silent,
-    /// Requests pass, answers do not.
+    /// Forwards requests and drops answers.
     OneWay,
-    /// Connections are reset.
+    /// Resets connections.
     Reset,
-    /// Each request is answered with 503.
+    /// Answers each request with status 503.
     Busy,
-    /// Each piece of an answer is this late.
+    /// Delays each chunk of an answer by this time.
     Slow(Duration),
-    /// Every other answer breaks off in the middle.
+    /// Cuts every other chunk of an answer in half and closes the connection.
     Broken,
-    /// Connections close as soon as an answer is through, as those of a server that keeps none.
+    /// Closes each connection after an answer, like a server without keep-alive.
     Closing,
 }
 
-/// The link of one node.
+/// Link between one node and the store.
 #[derive(Debug)]
 pub struct Link {
-    /// Where the node finds the store.
+    /// Address at which the node reaches the store.
     pub addr: SocketAddr,
     fault: watch::Sender<Fault>,
 }
 
 impl Link {
-    /// Serves at `addr` what the store at `store` answers.
+    /// Starts a proxy at `addr` for the store at `store`.
     pub async fn start(
         addr: SocketAddr,
         store: SocketAddr,
@@ -61,7 +62,7 @@
         Ok(Self { addr, fault })
     }
 
-    /// Switches the fault.
+    /// Sets the current fault.
     pub fn set(&self, fault: Fault) {
         self.fault.send_replace(fault);
     }
@@ -80,7 +81,7 @@
         while connections.try_join_next().is_some() {}
         let (fault, platform, answers) = (fault.clone(), platform.clone(), answers.clone());
         let connection = Connection { fault, platform, answers };
-        // A connection that breaks is what the node is to notice.
+        // Errors are ignored: handling a broken connection is up to the node.
         connections.spawn(async move { drop(connection.serve(node, store).await) });
     }
 }
@@ -88,7 +89,7 @@
 struct Connection {
     fault: watch::Receiver<Fault>,
     platform: Platform,
-    /// Pieces of answers that all connections of the link have passed on.
+    /// Number of answer chunks that all connections of the link have received from the store.
     answers: Arc<AtomicU32>,
 }
 
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Passes a piece of an answer on; returns whether the connection goes on.
+    /// Forwards a chunk of an answer; returns whether the connection stays open.
     async fn pass(
         &self,
         node: &mut TcpStream,
