--- a/crates/soak/src/cases.rs
+++ b/crates/soak/src/cases.rs
@@ -21,9 +21,9 @@
 /// Publishes a single version: the gap is longer than the entry, so that no second version follows.
 const PUBLISH: Fault = Fault::Storm(Duration::from_secs(60));
 
-fn entry(at_ms: u64, lasts_ms: u64, fault: Fault) -> Entry {
-    let [at, lasts] = [at_ms, lasts_ms].map(Duration::from_millis);
-    Entry { at, lasts, is_met: false, fault }
+fn entry(at_ms: u64, duration_ms: u64, fault: Fault) -> Entry {
+    let [at, duration] = [at_ms, duration_ms].map(Duration::from_millis);
+    Entry { at, duration, publishes_around: false, fault }
 }
 
 fn case(name: &'static str, nodes: usize, entries: impl IntoIterator<Item = Entry>) -> Case {
@@ -45,7 +45,7 @@
 
 /// Regression: readers whose store connection was silent kept announcing themselves as readers for a while before they
 /// stopped responding too.
-fn readers_cut_in_turn() -> Case {
+fn readers_cut_off_then_frozen() -> Case {
     let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 2_000 + i * 9_000;
         [
@@ -74,8 +74,8 @@
 }
 
 /// The store is restored from older copies, in some rounds just before its readers are killed.
-fn store_returns() -> Case {
-    let returns = (0..ROUNDS).flat_map(|i| {
+fn store_restored() -> Case {
+    let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 2_000 + i * 6_000;
         [
             entry(at, 10, Fault::Return(3 + 4 * i)),
@@ -85,12 +85,12 @@
             entry(at + 4_050, 10, PUBLISH),
         ]
     });
-    case("store-comes-back-older", 12, returns)
+    case("store-comes-back-older", 12, rounds)
 }
 
 /// No node reaches the store, and a version is published as soon as the store is reachable again.
-fn store_away() -> Case {
-    let away = (0..ROUNDS).flat_map(|i| {
+fn store_unreachable() -> Case {
+    let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 1_000 + i * 9_000;
         let fault = [link::Fault::Silent, link::Fault::OneWay][i as usize];
         [
@@ -99,32 +99,32 @@
             entry(at + 6_500, 10, PUBLISH),
         ]
     });
-    case("store-away-for-all", 12, away)
+    case("store-away-for-all", 12, rounds)
 }
 
 /// All processes are killed and restarted while the store is slow or cuts its answers short.
-fn all_start_on_a_sick_store() -> Case {
+fn all_start_on_a_failing_store() -> Case {
     let slow = link::Fault::Slow(Duration::from_millis(250));
-    let sick = [slow, link::Fault::Broken];
-    let starts = (0..ROUNDS).flat_map(|i| {
+    let faults = [slow, link::Fault::Broken];
+    let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 1_000 + i * 9_000;
         [
-            entry(at, 3_000, Fault::Link(Scope::All, sick[i as usize])),
+            entry(at, 3_000, Fault::Link(Scope::All, faults[i as usize])),
             entry(at + 300, 700, Fault::Kill(Scope::All)),
             entry(at + 1_100, 10, PUBLISH),
         ]
     });
-    case("all-start-on-a-sick-store", 24, starts)
+    case("all-start-on-a-sick-store", 24, rounds)
 }
 
 /// All cases.
 pub fn cases() -> Vec<Case> {
     vec![
         silent_while_idle(),
-        readers_cut_in_turn(),
+        readers_cut_off_then_frozen(),
         successors_on_silent_connections(),
-        store_returns(),
-        store_away(),
-        all_start_on_a_sick_store(),
+        store_restored(),
+        store_unreachable(),
+        all_start_on_a_failing_store(),
     ]
 }
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -6,15 +6,15 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-use crate::deployment::{ROUTE_LIFE, SERVICES};
+use crate::deployment::{ROUTE_LIFETIME, SERVICES};
 
 /// Time after its acknowledgement by the store within which a version must be in force.
-pub(crate) const IN_FORCE: Duration = Duration::from_secs(2);
+pub(crate) const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
 /// A node counts as undisturbed if no fault has affected the node or the store for this long.
-pub(crate) const CONTACT: Duration = Duration::from_secs(3);
+pub(crate) const UNDISTURBED_AFTER: Duration = Duration::from_secs(3);
 /// An answer under some version obliges the process to handle requests that are sent at least this much later by this
 /// or a newer version.
-const BACK: Duration = Duration::from_millis(250);
+const ROLLBACK_MARGIN: Duration = Duration::from_millis(250);
 
 /// A guarantee that is checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -41,16 +41,16 @@
 
 /// A violation of a guarantee.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     /// The violated guarantee.
     pub rule: Rule,
     /// Description of the observed violation.
-    pub what: String,
+    pub description: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.rule, self.what)
+        write!(f, "{:?}: {}", self.rule, self.description)
     }
 }
 
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Version {
     pub(crate) number: u64,
-    pub(crate) acked: Instant,
+    pub(crate) acknowledged: Instant,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -80,7 +80,7 @@
     /// Disturbances of each node, indexed by node. One without an end belongs to a fault that is still active.
     nodes: Vec<Vec<Disturbance>>,
     /// Times at which the store was disturbed.
-    core: Vec<Instant>,
+    store_disturbances: Vec<Instant>,
     /// Start times of the processes of each node, indexed by node.
     starts: Vec<Vec<Instant>>,
 }
@@ -98,7 +98,7 @@
 
 /// Outcome of a request as its caller saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum End {
+pub(crate) enum RequestOutcome {
     /// An endpoint of this service answered.
     Ran(u64),
     /// The answer had an error status: status and text.
@@ -111,13 +111,13 @@
 
 /// Record of one request as its caller saw it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct RequestRecord {
     pub(crate) id: String,
     pub(crate) node: usize,
     pub(crate) target: Target,
     pub(crate) sent: Instant,
     pub(crate) ended: Instant,
-    pub(crate) end: End,
+    pub(crate) outcome: RequestOutcome,
 }
 
 impl History {
@@ -125,177 +125,193 @@
         Self {
             versions: Vec::new(),
             nodes: vec![Vec::new(); nodes],
-            core: Vec::new(),
+            store_disturbances: Vec::new(),
             starts: vec![Vec::new(); nodes],
         }
     }
 
-    pub(crate) fn started(&mut self, node: usize, at: Instant) {
+    pub(crate) fn record_start(&mut self, node: usize, at: Instant) {
         self.starts[node].push(at);
     }
 
-    pub(crate) fn disturbed(&mut self, nodes: &[usize], from: Instant) {
+    pub(crate) fn begin_disturbance(&mut self, nodes: &[usize], from: Instant) {
         nodes.iter().for_each(|it| self.nodes[*it].push(Disturbance { from, until: None }));
     }
 
     /// Closes one active disturbance of each of these nodes.
-    pub(crate) fn calmed(&mut self, nodes: &[usize], at: Instant) {
+    pub(crate) fn end_disturbance(&mut self, nodes: &[usize], at: Instant) {
         for it in nodes {
             let open = self.nodes[*it].iter_mut().find(|it| it.until.is_none());
             open.into_iter().for_each(|it| it.until = Some(at));
         }
     }
 
-    pub(crate) fn core_disturbed(&mut self, at: Instant) {
-        self.core.push(at);
+    pub(crate) fn record_store_disturbance(&mut self, at: Instant) {
+        self.store_disturbances.push(at);
     }
 
     /// Whether a node was undisturbed from `from` to `until`. A fault of the store disturbs every node.
-    fn in_touch(&self, node: usize, from: Instant, until: Instant) -> bool {
-        let from = from - CONTACT;
-        let is_core_calm = !self.core.iter().any(|it| (from..=until).contains(it));
-        is_core_calm && !self.nodes[node].iter().any(|it| it.overlaps(from, until))
+    fn is_undisturbed(&self, node: usize, from: Instant, until: Instant) -> bool {
+        let from = from - UNDISTURBED_AFTER;
+        let is_store_undisturbed =
+            !self.store_disturbances.iter().any(|it| (from..=until).contains(it));
+        is_store_undisturbed && !self.nodes[node].iter().any(|it| it.overlaps(from, until))
     }
 
     /// Number of requests that undisturbed nodes handled, which are checked against the freshness bound.
-    pub(crate) fn checked(&self, seen: &[Seen]) -> usize {
-        seen.iter().filter(|it| self.in_touch(it.node, it.sent, it.ended)).count()
+    pub(crate) fn count_checked(&self, records: &[RequestRecord]) -> usize {
+        records.iter().filter(|it| self.is_undisturbed(it.node, it.sent, it.ended)).count()
     }
 
     /// Longest time after the acknowledgement of a version for which an undisturbed node handled requests by an older
     /// version.
-    pub(crate) fn longest_lag(&self, seen: &[Seen]) -> Duration {
-        let lag = |it: &Seen| {
-            let End::Ran(service) = it.end else { return None };
-            let newest = self.newest_at(it.ended);
+    pub(crate) fn longest_lag(&self, records: &[RequestRecord]) -> Duration {
+        let lag = |it: &RequestRecord| {
+            let RequestOutcome::Ran(service) = it.outcome else { return None };
+            let newest = self.newest_acknowledged_at(it.ended);
             let version = (0..=newest).rev().find(|it| it % SERVICES == service)?;
             let next = self.versions.iter().find(|it| it.number > version)?;
-            it.sent.checked_duration_since(next.acked)
+            it.sent.checked_duration_since(next.acknowledged)
         };
-        let in_touch = seen.iter().filter(|it| self.in_touch(it.node, it.sent, it.ended));
-        in_touch.filter_map(lag).max().unwrap_or_default()
+        let checked = records.iter().filter(|it| self.is_undisturbed(it.node, it.sent, it.ended));
+        checked.filter_map(lag).max().unwrap_or_default()
     }
 
     /// Longest time from a restart of a process to its first successful answer, among the processes that gave one.
-    pub(crate) fn longest_start(&self, seen: &[Seen]) -> Duration {
-        let served = |node: usize, life: usize| {
-            let own = seen.iter().filter(|it| it.node == node && matches!(it.end, End::Ran(_)));
-            own.filter(|it| self.life(node, it.sent) == life + 1).map(|it| it.ended).min()
+    pub(crate) fn longest_start(&self, records: &[RequestRecord]) -> Duration {
+        let first_answer = |node: usize, incarnation: usize| {
+            let own = records
+                .iter()
+                .filter(|it| it.node == node && matches!(it.outcome, RequestOutcome::Ran(_)));
+            own.filter(|it| self.incarnation(node, it.sent) == incarnation + 1)
+                .map(|it| it.ended)
+                .min()
         };
         let starts = self.starts.iter().enumerate().flat_map(|(node, starts)| {
-            starts.iter().enumerate().skip(1).map(move |(life, at)| (node, life, *at))
+            starts.iter().enumerate().skip(1).map(move |(incarnation, at)| (node, incarnation, *at))
         });
-        let times = starts.filter_map(|(node, life, at)| Some(served(node, life)? - at));
+        let times = starts
+            .filter_map(|(node, incarnation, at)| Some(first_answer(node, incarnation)? - at));
         times.max().unwrap_or_default()
     }
 
     /// The oldest version by which a request sent at this time may be handled.
-    fn oldest_at(&self, sent: Instant) -> u64 {
-        let due = self.versions.iter().rev().find(|it| it.acked + IN_FORCE <= sent);
-        due.map_or(0, |it| it.number)
+    fn oldest_allowed_at(&self, sent: Instant) -> u64 {
+        let required =
+            self.versions.iter().rev().find(|it| it.acknowledged + IN_FORCE_WITHIN <= sent);
+        required.map_or(0, |it| it.number)
     }
 
     /// The newest version that the store had acknowledged at this time.
-    fn newest_at(&self, at: Instant) -> u64 {
-        self.versions.iter().rev().find(|it| it.acked <= at).map_or(0, |it| it.number)
+    fn newest_acknowledged_at(&self, at: Instant) -> u64 {
+        self.versions.iter().rev().find(|it| it.acknowledged <= at).map_or(0, |it| it.number)
     }
 
     /// Number of the node's process that was running at this time, counted from 1.
-    fn life(&self, node: usize, at: Instant) -> usize {
+    fn incarnation(&self, node: usize, at: Instant) -> usize {
         self.starts[node].iter().filter(|it| **it <= at).count()
     }
 
     /// Returns the violations of guarantees about configurations that callers observed.
-    pub(crate) fn check(&self, seen: &[Seen]) -> Vec<Broken> {
-        let mut broken: Vec<Broken> = seen.iter().filter_map(|it| self.check_one(it)).collect();
+    pub(crate) fn check(&self, records: &[RequestRecord]) -> Vec<Violation> {
+        let mut violations: Vec<Violation> =
+            records.iter().filter_map(|it| self.check_request(it)).collect();
         for node in 0..self.nodes.len() {
-            let mut own: Vec<&Seen> = seen.iter().filter(|it| it.node == node).collect();
+            let mut own: Vec<&RequestRecord> =
+                records.iter().filter(|it| it.node == node).collect();
             own.sort_by_key(|it| it.ended);
-            broken.extend(self.check_back(node, &own));
+            violations.extend(self.check_rollback(node, &own));
         }
-        broken
+        violations
     }
 
-    fn check_one(&self, it: &Seen) -> Option<Broken> {
-        let in_touch = self.in_touch(it.node, it.sent, it.ended);
-        let (oldest, newest) = (self.oldest_at(it.sent), self.newest_at(it.ended));
-        let broken = |rule| {
-            let first = self.versions.first().map_or(it.sent, |it| it.acked);
+    fn check_request(&self, it: &RequestRecord) -> Option<Violation> {
+        let is_undisturbed = self.is_undisturbed(it.node, it.sent, it.ended);
+        let (oldest, newest) =
+            (self.oldest_allowed_at(it.sent), self.newest_acknowledged_at(it.ended));
+        let violation = |rule| {
+            let first = self.versions.first().map_or(it.sent, |it| it.acknowledged);
             let at = it.sent.duration_since(first).as_secs_f64();
-            let Seen { id, node, target, end, .. } = it;
-            let what = format!(
-                "request {id} at node {node}, {at:.3} s, {target:?}: {end:?}; versions {oldest} to {newest} are allowed"
+            let RequestRecord { id, node, target, outcome, .. } = it;
+            let description = format!(
+                "request {id} at node {node}, {at:.3} s, {target:?}: {outcome:?}; versions {oldest} to {newest} are allowed"
             );
-            Some(Broken { rule, what })
+            Some(Violation { rule, description })
         };
-        let is_proper = match it.target {
-            Target::Added(version) => version <= oldest && newest < version + ROUTE_LIFE,
+        let is_valid = match it.target {
+            Target::Added(version) => version <= oldest && newest < version + ROUTE_LIFETIME,
             Target::Moved | Target::Booking => true,
         };
-        match &it.end {
-            End::Ran(service) => {
+        match &it.outcome {
+            RequestOutcome::Ran(service) => {
                 let allowed = (oldest..=newest).any(|it| it % SERVICES == *service);
-                if in_touch && !allowed { broken(Rule::Stale) } else { None }
+                if is_undisturbed && !allowed { violation(Rule::Stale) } else { None }
             }
-            End::Refused(300..=407 | 409..=420 | 422..=428 | 430..=499, _) if is_proper => {
-                let is_always_proper = matches!(it.target, Target::Moved | Target::Booking);
-                if in_touch || is_always_proper { broken(Rule::Denied) } else { None }
+            RequestOutcome::Refused(300..=407 | 409..=420 | 422..=428 | 430..=499, _)
+                if is_valid =>
+            {
+                let is_always_valid = matches!(it.target, Target::Moved | Target::Booking);
+                if is_undisturbed || is_always_valid { violation(Rule::Denied) } else { None }
             }
-            End::Refused(503, text) if is_proper && in_touch && is_about_configuration(text) => {
-                broken(Rule::Unserved)
+            RequestOutcome::Refused(503, text)
+                if is_valid && is_undisturbed && is_about_configuration(text) =>
+            {
+                violation(Rule::Unserved)
             }
-            End::Mixed(_) => broken(Rule::Mixed),
-            End::Refused(..) | End::Broken => None,
+            RequestOutcome::Mixed(_) => violation(Rule::Mixed),
+            RequestOutcome::Refused(..) | RequestOutcome::Broken => None,
         }
     }
 
     /// Checks that no process goes back to an older version than it has used before.
-    fn check_back(&self, node: usize, seen: &[&Seen]) -> Vec<Broken> {
-        let mut broken = Vec::new();
-        let mut known: Vec<(Instant, u64)> = Vec::new();
-        let mut life = 0;
-        for it in seen {
-            let End::Ran(service) = it.end else { continue };
-            if self.life(node, it.sent) != self.life(node, it.ended) {
+    fn check_rollback(&self, node: usize, records: &[&RequestRecord]) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        let mut used_versions: Vec<(Instant, u64)> = Vec::new();
+        let mut incarnation = 0;
+        for it in records {
+            let RequestOutcome::Ran(service) = it.outcome else { continue };
+            if self.incarnation(node, it.sent) != self.incarnation(node, it.ended) {
                 continue;
             }
-            if self.life(node, it.sent) != life {
-                life = self.life(node, it.sent);
-                known.clear();
+            if self.incarnation(node, it.sent) != incarnation {
+                incarnation = self.incarnation(node, it.sent);
+                used_versions.clear();
             }
-            let before = known.iter().filter(|(ended, _)| *ended + BACK <= it.sent);
-            let least = before.map(|(_, version)| *version).max().unwrap_or(0);
-            let newest = self.newest_at(it.ended);
-            let version = (least..=newest).find(|it| it % SERVICES == service);
+            let earlier =
+                used_versions.iter().filter(|(ended, _)| *ended + ROLLBACK_MARGIN <= it.sent);
+            let minimum = earlier.map(|(_, version)| *version).max().unwrap_or(0);
+            let newest = self.newest_acknowledged_at(it.ended);
+            let version = (minimum..=newest).find(|it| it % SERVICES == service);
             match version {
-                Some(it_is) => known.push((it.ended, it_is)),
+                Some(version) => used_versions.push((it.ended, version)),
                 None => {
-                    let what = format!(
-                        "request {} at node {node} ran at service {service} after version {least}",
+                    let description = format!(
+                        "request {} at node {node} ran at service {service} after version {minimum}",
                         it.id
                     );
-                    broken.push(Broken { rule: Rule::Back, what });
+                    violations.push(Violation { rule: Rule::Back, description });
                 }
             }
         }
-        broken
+        violations
     }
 }
 
 /// Compares the runs at endpoints with the answers to callers. `runs` returns how often a request that must not be
 /// repeated ran.
-pub(crate) fn check_runs(seen: &[Seen], runs: impl Fn(&str) -> u32) -> Vec<Broken> {
-    let check = |it: &Seen| {
-        let promised_not = matches!(it.end, End::Refused(408 | 421 | 429 | 503, _));
+pub(crate) fn check_runs(records: &[RequestRecord], runs: impl Fn(&str) -> u32) -> Vec<Violation> {
+    let check = |it: &RequestRecord| {
+        let was_told_not_run =
+            matches!(it.outcome, RequestOutcome::Refused(408 | 421 | 429 | 503, _));
         let runs = runs(&it.id);
         let rule = match runs {
             2.. => Rule::Twice,
-            1 if promised_not => Rule::NotRun,
+            1 if was_told_not_run => Rule::NotRun,
             _ => return None,
         };
-        Some(Broken { rule, what: format!("request {} ran {runs} times: {it:?}", it.id) })
+        Some(Violation { rule, description: format!("request {} ran {runs} times: {it:?}", it.id) })
     };
-    seen.iter().filter_map(check).collect()
+    records.iter().filter_map(check).collect()
 }
 
 fn is_about_configuration(text: &str) -> bool {
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -22,24 +22,24 @@
 use crate::schedule::{Fault, Scope};
 
 /// Failure domains over which nodes and endpoints are spread.
-const DOMAINS: [&str; 3] = ["a", "b", "c"];
+const FAILURE_DOMAINS: [&str; 3] = ["a", "b", "c"];
 /// Number of services. Each version moves the routes to the next service, so that the service in an answer identifies
 /// the version under which the request was handled.
 pub(crate) const SERVICES: u64 = 16;
 /// Number of versions for which a route that a version adds exists.
-pub(crate) const ROUTE_LIFE: u64 = 8;
+pub(crate) const ROUTE_LIFETIME: u64 = 8;
 /// Number of endpoints of each service.
-const ENDPOINTS: usize = 2;
+const ENDPOINTS_PER_SERVICE: usize = 2;
 /// Number of nodes that serve as seeds for the others.
 const SEEDS: usize = 3;
 /// Limit for the first start of all nodes.
-const START: Duration = Duration::from_secs(60);
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 /// Limit for a planned stop; a process that is still running after it is killed.
-const STOP: Duration = Duration::from_secs(6);
+const STOP_TIMEOUT: Duration = Duration::from_secs(6);
 /// Limit for an answer of the operator API; a frozen process does not answer.
-const ANSWER: Duration = Duration::from_millis(300);
+const OPERATOR_TIMEOUT: Duration = Duration::from_millis(300);
 /// Lowest revision that the store may be restored to.
-const FIRST_REVISION: u64 = 1;
+const MIN_REVISION: u64 = 1;
 
 /// Everything that a soak run starts.
 pub(crate) struct Deployment {
@@ -57,27 +57,27 @@
     /// Starts `count` nodes of the program at `bin` and waits until all are ready.
     pub(crate) async fn start(bin: &Path, count: usize) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
-        let free = lab::free_addrs(1 + SERVICES as usize * ENDPOINTS + 4 * count)?;
+        let free = lab::free_addrs(1 + SERVICES as usize * ENDPOINTS_PER_SERVICE + 4 * count)?;
         let (store, free) = free.split_first().expect("more than one is asked for");
-        let (of_endpoints, free) = free.split_at(SERVICES as usize * ENDPOINTS);
-        let (of_links, of_nodes) = free.split_at(count);
+        let (endpoint_addrs, free) = free.split_at(SERVICES as usize * ENDPOINTS_PER_SERVICE);
+        let (link_addrs, node_addrs) = free.split_at(count);
         let platform = Platform::default();
         tokio::spawn(platform.clone().serve(server::bind(*store).await?));
         let (mut upstreams, mut endpoints) = (Vec::new(), Vec::new());
-        for (i, addr) in of_endpoints.iter().enumerate() {
+        for (i, addr) in endpoint_addrs.iter().enumerate() {
             let profile =
                 Profile { slots: 8, service_us: 2_000, heavy_tail: false, cold_ms: 0, piece_us: 0 };
             let upstream = Upstream::new(&addr.to_string(), profile);
             tokio::spawn(upstream.clone().serve(server::bind(*addr).await?));
             upstreams.push(upstream);
-            endpoints.push(endpoint(*addr, DOMAINS[i % DOMAINS.len()]));
+            endpoints.push(endpoint(*addr, FAILURE_DOMAINS[i % FAILURE_DOMAINS.len()]));
         }
-        let addrs = lab::nodes_at(of_nodes, &DOMAINS);
+        let addrs = lab::nodes_at(node_addrs, &FAILURE_DOMAINS);
         let mut links = Vec::new();
-        for addr in of_links {
+        for addr in link_addrs {
             links.push(Link::start(*addr, *store, platform.clone()).await?);
         }
-        let mut it = Self {
+        let mut deployment = Self {
             nodes: Vec::new(),
             links,
             platform,
@@ -87,18 +87,18 @@
             dir,
             addrs,
         };
-        it.publish();
+        deployment.publish();
         for i in 0..count {
-            let mut options = NodeOptions::new(bin, it.links[i].addr);
-            options.seeds = it.addrs.iter().take(SEEDS).map(|it| it.fleet).collect();
-            let node = Node::start(it.dir.path(), &it.addrs[i], &options)?;
-            it.history.lock().started(i, Instant::now());
-            it.nodes.push(tokio::sync::Mutex::new(node));
+            let mut options = NodeOptions::new(bin, deployment.links[i].addr);
+            options.seeds = deployment.addrs.iter().take(SEEDS).map(|it| it.fleet).collect();
+            let node = Node::start(deployment.dir.path(), &deployment.addrs[i], &options)?;
+            deployment.history.lock().record_start(i, Instant::now());
+            deployment.nodes.push(tokio::sync::Mutex::new(node));
         }
-        for node in &it.nodes {
-            node.lock().await.wait_ready(START).await?;
+        for node in &deployment.nodes {
+            node.lock().await.wait_ready(START_TIMEOUT).await?;
         }
-        Ok(it)
+        Ok(deployment)
     }
 
     /// Addresses of the nodes for callers.
@@ -109,7 +109,7 @@
     /// Returns the service that an endpoint belongs to.
     pub(crate) fn service_of(&self, endpoint: &str) -> Option<u64> {
         let i = self.upstreams.iter().position(|it| it.name() == endpoint)?;
-        Some((i / ENDPOINTS) as u64)
+        Some((i / ENDPOINTS_PER_SERVICE) as u64)
     }
 
     /// Publishes the next version and returns its number.
@@ -119,17 +119,17 @@
         let number = history.versions.last().map_or(1, |it| it.number + 1);
         let published = self.platform.publish(&self.resources(number));
         assert_eq!(published, number, "the operator is the only writer");
-        history.versions.push(Version { number, acked: Instant::now() });
+        history.versions.push(Version { number, acknowledged: Instant::now() });
         number
     }
 
     fn resources(&self, version: u64) -> Vec<Resource> {
         let name = |service: u64| format!("service-{service}");
         let services = (0..SERVICES).map(|i| {
-            let from = i as usize * ENDPOINTS;
+            let from = i as usize * ENDPOINTS_PER_SERVICE;
             json!({
                 "kind": "Service", "name": name(i), "floor": "60%", "slots": 8, "connections": 200,
-                "endpoints": self.endpoints[from..from + ENDPOINTS],
+                "endpoints": self.endpoints[from..from + ENDPOINTS_PER_SERVICE],
             })
         });
         let to = name(version % SERVICES);
@@ -141,7 +141,7 @@
         };
         let moved =
             [route("/moved/".to_owned(), "anytime"), route("/bookings/".to_owned(), "if-not-run")];
-        let oldest = version.saturating_sub(ROUTE_LIFE - 1).max(1);
+        let oldest = version.saturating_sub(ROUTE_LIFETIME - 1).max(1);
         let added = (oldest..=version).map(|it| route(format!("/since-{it}/"), "anytime"));
         let all = services.chain(moved).chain(added);
         all.map(|it| serde_json::from_value(it).expect("the form of resources")).collect()
@@ -161,7 +161,7 @@
                 for i in all {
                     let node = self.nodes[i].lock().await;
                     // A node that does not answer is not counted as a reader.
-                    let report = timeout(ANSWER, node.report()).await;
+                    let report = timeout(OPERATOR_TIMEOUT, node.report()).await;
                     if report.is_ok_and(|it| it.is_ok_and(|it| it["reads_platform"] == true)) {
                         readers.push(i);
                     }
@@ -172,26 +172,26 @@
     }
 
     /// Injects a fault, waits for its duration and ends it.
-    pub(crate) async fn suffer(&self, fault: Fault, lasts: Duration) -> anyhow::Result<()> {
+    pub(crate) async fn inject(&self, fault: Fault, duration: Duration) -> anyhow::Result<()> {
         let began = Instant::now();
         match fault {
             Fault::Kill(scope) => {
-                let nodes = self.begin(scope).await;
+                let nodes = self.begin_disturbance(scope).await;
                 for i in &nodes {
                     self.nodes[*i].lock().await.kill();
                 }
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.restart(&nodes).await?;
             }
             Fault::Freeze(scope) => {
-                let nodes = self.begin(scope).await;
+                let nodes = self.begin_disturbance(scope).await;
                 self.signal(&nodes, "STOP").await;
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.signal(&nodes, "CONT").await;
-                self.end(&nodes);
+                self.end_disturbance(&nodes);
             }
             Fault::Terminate(scope) => {
-                let nodes = self.begin(scope).await;
+                let nodes = self.begin_disturbance(scope).await;
                 self.signal(&nodes, "TERM").await;
                 self.wait_stopped(&nodes).await?;
                 self.restart(&nodes).await?;
@@ -201,55 +201,55 @@
                 self.signal(&nodes, "HUP").await;
             }
             Fault::Link(scope, fault) => {
-                let nodes = self.begin(scope).await;
+                let nodes = self.begin_disturbance(scope).await;
                 self.set_links(&nodes, fault);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.set_links(&nodes, link::Fault::None);
-                self.end(&nodes);
+                self.end_disturbance(&nodes);
             }
             Fault::Cut(scope) => {
-                let nodes = self.begin(scope).await;
+                let nodes = self.begin_disturbance(scope).await;
                 self.cut(&nodes, &self.addrs.iter().map(|it| it.fleet).collect::<Vec<_>>()).await;
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.cut(&nodes, &[]).await;
-                self.end(&nodes);
+                self.end_disturbance(&nodes);
             }
             Fault::Forget => {
                 self.platform.forget();
-                self.history.lock().core_disturbed(began);
+                self.history.lock().record_store_disturbance(began);
             }
             Fault::Return(revisions) => {
-                let to = self.platform.revision().saturating_sub(revisions).max(FIRST_REVISION);
+                let to = self.platform.revision().saturating_sub(revisions).max(MIN_REVISION);
                 self.platform.come_back(to);
                 self.publish();
-                self.history.lock().core_disturbed(began);
+                self.history.lock().record_store_disturbance(began);
             }
             Fault::Storm(gap) => {
-                while began.elapsed() < lasts {
+                while began.elapsed() < duration {
                     self.publish();
-                    tokio::time::sleep(gap.min(lasts)).await;
+                    tokio::time::sleep(gap.min(duration)).await;
                 }
             }
         }
         Ok(())
     }
 
-    async fn begin(&self, scope: Scope) -> Vec<usize> {
+    async fn begin_disturbance(&self, scope: Scope) -> Vec<usize> {
         let nodes = self.nodes_in(scope).await;
-        self.history.lock().disturbed(&nodes, Instant::now());
+        self.history.lock().begin_disturbance(&nodes, Instant::now());
         nodes
     }
 
-    fn end(&self, nodes: &[usize]) {
-        self.history.lock().calmed(nodes, Instant::now());
+    fn end_disturbance(&self, nodes: &[usize]) {
+        self.history.lock().end_disturbance(nodes, Instant::now());
     }
 
     async fn restart(&self, nodes: &[usize]) -> anyhow::Result<()> {
         for i in nodes {
             self.nodes[*i].lock().await.restart()?;
-            self.history.lock().started(*i, Instant::now());
+            self.history.lock().record_start(*i, Instant::now());
         }
-        self.end(nodes);
+        self.end_disturbance(nodes);
         Ok(())
     }
 
@@ -264,7 +264,10 @@
         let since = Instant::now();
         for i in nodes {
             let mut node = self.nodes[*i].lock().await;
-            while node.pid().is_some() && node.exit_code()?.is_none() && since.elapsed() < STOP {
+            while node.pid().is_some()
+                && node.exit_code()?.is_none()
+                && since.elapsed() < STOP_TIMEOUT
+            {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -278,7 +281,7 @@
     async fn cut(&self, nodes: &[usize], from: &[SocketAddr]) {
         for i in nodes {
             // A node that does not answer does not send frames either.
-            let _ = timeout(ANSWER, self.nodes[*i].lock().await.cut(from)).await;
+            let _ = timeout(OPERATOR_TIMEOUT, self.nodes[*i].lock().await.cut(from)).await;
         }
     }
 
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -10,11 +10,11 @@
 mod check;
 mod deployment;
 mod link;
-mod play;
+mod run;
 mod schedule;
 
 pub use cases::{Case, cases};
-pub use check::{Broken, Rule};
+pub use check::{Rule, Violation};
 pub use link::Fault as LinkFault;
-pub use play::{Options, Outcome, play};
+pub use run::{Options, Outcome, run_schedule};
 pub use schedule::{Entry, Fault, Schedule, Scope};
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -57,8 +57,8 @@
         platform: Platform,
     ) -> std::io::Result<Self> {
         let listener = server::bind(addr).await?;
-        let (fault, is_now) = watch::channel(Fault::None);
-        tokio::spawn(accept(listener, store, platform, is_now));
+        let (fault, receiver) = watch::channel(Fault::None);
+        tokio::spawn(accept(listener, store, platform, receiver));
         Ok(Self { addr, fault })
     }
 
@@ -74,13 +74,14 @@
     platform: Platform,
     fault: watch::Receiver<Fault>,
 ) {
-    let answers = Arc::new(AtomicU32::new(0));
+    let answer_chunks = Arc::new(AtomicU32::new(0));
     let mut connections = JoinSet::new();
     loop {
         let Ok((node, _)) = listener.accept().await else { continue };
         while connections.try_join_next().is_some() {}
-        let (fault, platform, answers) = (fault.clone(), platform.clone(), answers.clone());
-        let connection = Connection { fault, platform, answers };
+        let (fault, platform, answer_chunks) =
+            (fault.clone(), platform.clone(), answer_chunks.clone());
+        let connection = Connection { fault, platform, answer_chunks };
         // Errors are ignored: handling a broken connection is up to the node.
         connections.spawn(async move { drop(connection.serve(node, store).await) });
     }
@@ -90,7 +91,7 @@
     fault: watch::Receiver<Fault>,
     platform: Platform,
     /// Number of answer chunks that all connections of the link have received from the store.
-    answers: Arc<AtomicU32>,
+    answer_chunks: Arc<AtomicU32>,
 }
 
 impl Connection {
@@ -122,7 +123,7 @@
                 }
                 n = store.read(&mut to_node) => {
                     let answer = &to_node[..n?];
-                    if answer.is_empty() || !self.pass(&mut node, answer, fault).await? {
+                    if answer.is_empty() || !self.forward(&mut node, answer, fault).await? {
                         return Ok(());
                     }
                 }
@@ -132,17 +133,17 @@
     }
 
     /// Forwards a chunk of an answer; returns whether the connection stays open.
-    async fn pass(
+    async fn forward(
         &self,
         node: &mut TcpStream,
         answer: &[u8],
         fault: Fault,
     ) -> std::io::Result<bool> {
-        let number = self.answers.fetch_add(1, Ordering::Relaxed);
+        let index = self.answer_chunks.fetch_add(1, Ordering::Relaxed);
         match fault {
             Fault::OneWay => return Ok(true),
-            Fault::Slow(by) => sleep(by).await,
-            Fault::Broken if number.is_multiple_of(2) => {
+            Fault::Slow(delay) => sleep(delay).await,
+            Fault::Broken if index.is_multiple_of(2) => {
                 node.write_all(&answer[..answer.len() / 2]).await?;
                 return Ok(false);
             }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/run.rs
@@ -9,12 +9,12 @@
 use tokio::task::JoinSet;
 
 use crate::callers;
-use crate::check::{Broken, End, Rule, Seen, check_runs};
+use crate::check::{RequestOutcome, RequestRecord, Rule, Violation, check_runs};
 use crate::deployment::Deployment;
 use crate::schedule::{Entry, Schedule};
 
 /// Range of pauses between two versions that the operator publishes.
-const VERSION_GAP_MS: std::ops::Range<u64> = 400..2_500;
+const PUBLISH_INTERVAL_MS: std::ops::Range<u64> = 400..2_500;
 /// Maximum resident memory of a node, in MB.
 const MAX_MEMORY_MB: f64 = 256.0;
 /// Maximum log output of a node in bytes per second, over all kinds of log lines.
@@ -41,7 +41,7 @@
     /// Requests that were answered by an endpoint.
     pub answered: usize,
     /// Requests that an undisturbed node handled; only these are checked against the freshness bound.
-    pub in_touch: usize,
+    pub checked: usize,
     /// Longest time after the acknowledgement of a version for which an undisturbed node still used an older version.
     pub longest_lag: Duration,
     /// Longest time from the start of a process to its first successful answer.
@@ -49,46 +49,51 @@
     /// Number of versions that were published.
     pub versions: usize,
     /// Violated guarantees.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// Directory of the node logs, kept if a guarantee was violated.
     pub logs: Option<PathBuf>,
 }
 
 /// Runs a schedule against nodes of the program at `bin`.
-pub async fn play(bin: &Path, options: &Options, schedule: &Schedule) -> anyhow::Result<Outcome> {
+pub async fn run_schedule(
+    bin: &Path,
+    options: &Options,
+    schedule: &Schedule,
+) -> anyhow::Result<Outcome> {
     let deployment = Arc::new(Deployment::start(bin, options.nodes).await?);
     let start = Instant::now();
     let end = start + options.length;
     let mut rng = StdRng::seed_from_u64(options.seed);
-    let of_callers = StdRng::from_rng(&mut rng);
-    let callers = tokio::spawn(callers::call(deployment.clone(), of_callers, options.rate, end));
-    let operator = tokio::spawn(operate(deployment.clone(), rng, end));
+    let caller_rng = StdRng::from_rng(&mut rng);
+    let callers =
+        tokio::spawn(callers::send_requests(deployment.clone(), caller_rng, options.rate, end));
+    let operator = tokio::spawn(run_operator(deployment.clone(), rng, end));
     let mut faults = JoinSet::new();
     for it in schedule.entries.clone() {
-        faults.spawn(suffer(deployment.clone(), start + it.at, it));
+        faults.spawn(run_entry(deployment.clone(), start + it.at, it));
     }
     while let Some(ended) = faults.join_next().await {
         ended??;
     }
     operator.await?;
-    let seen = callers.await?;
-    finish(deployment, options, &seen).await
+    let records = callers.await?;
+    finish(deployment, options, &records).await
 }
 
-async fn operate(deployment: Arc<Deployment>, mut rng: StdRng, end: Instant) {
+async fn run_operator(deployment: Arc<Deployment>, mut rng: StdRng, end: Instant) {
     while Instant::now() < end {
         deployment.publish();
-        tokio::time::sleep(Duration::from_millis(rng.random_range(VERSION_GAP_MS))).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(PUBLISH_INTERVAL_MS))).await;
     }
 }
 
-async fn suffer(deployment: Arc<Deployment>, at: Instant, it: Entry) -> anyhow::Result<()> {
+async fn run_entry(deployment: Arc<Deployment>, at: Instant, entry: Entry) -> anyhow::Result<()> {
     tokio::time::sleep_until(at.into()).await;
-    if it.is_met {
+    if entry.publishes_around {
         deployment.publish();
     }
-    deployment.suffer(it.fault, it.lasts).await?;
-    if it.is_met {
+    deployment.inject(entry.fault, entry.duration).await?;
+    if entry.publishes_around {
         deployment.publish();
     }
     Ok(())
@@ -97,33 +102,37 @@
 async fn finish(
     deployment: Arc<Deployment>,
     options: &Options,
-    seen: &[Seen],
+    records: &[RequestRecord],
 ) -> anyhow::Result<Outcome> {
-    let mut broken = deployment.history.lock().check(seen);
+    let mut violations = deployment.history.lock().check(records);
     let runs: Vec<_> = deployment.upstreams.iter().map(|it| it.runs()).collect();
-    broken.extend(check_runs(seen, |id| runs.iter().filter_map(|it| it.get(id)).sum()));
+    violations.extend(check_runs(records, |id| runs.iter().filter_map(|it| it.get(id)).sum()));
     let max_log_bytes = MAX_LOG_BYTES_PER_S * options.length.as_secs().max(1);
     for (i, it) in deployment.processes().await?.into_iter().enumerate() {
         if it.has_ended {
-            broken.push(Broken { rule: Rule::Ended, what: format!("node {i} ended by itself") });
+            violations.push(Violation {
+                rule: Rule::Ended,
+                description: format!("node {i} ended by itself"),
+            });
         }
         if it.memory_mb.is_some_and(|it| it > MAX_MEMORY_MB) || it.log_bytes > max_log_bytes {
-            broken.push(Broken { rule: Rule::Grown, what: format!("node {i}: {it:?}") });
+            violations
+                .push(Violation { rule: Rule::Grown, description: format!("node {i}: {it:?}") });
         }
     }
     let versions = deployment.history.lock().versions.len();
-    let in_touch = deployment.history.lock().checked(seen);
-    let longest_start = deployment.history.lock().longest_start(seen);
-    let longest_lag = deployment.history.lock().longest_lag(seen);
-    let deployment = Arc::into_inner(deployment).filter(|_| !broken.is_empty());
+    let checked = deployment.history.lock().count_checked(records);
+    let longest_start = deployment.history.lock().longest_start(records);
+    let longest_lag = deployment.history.lock().longest_lag(records);
+    let deployment = Arc::into_inner(deployment).filter(|_| !violations.is_empty());
     Ok(Outcome {
-        requests: seen.len(),
-        answered: seen.iter().filter(|it| matches!(it.end, End::Ran(_))).count(),
-        in_touch,
+        requests: records.len(),
+        answered: records.iter().filter(|it| matches!(it.outcome, RequestOutcome::Ran(_))).count(),
+        checked,
         longest_lag,
         longest_start,
         versions,
-        broken,
+        violations,
         logs: deployment.map(Deployment::keep_logs),
     })
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -48,18 +48,24 @@
     /// Time at which the fault begins, counted from the start of the callers.
     pub at: Duration,
     /// Time for which the fault lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Whether a version is published immediately before the fault and another immediately after it.
-    pub is_met: bool,
+    pub publishes_around: bool,
     /// The fault to inject.
     pub fault: Fault,
 }
 
 impl fmt::Display for Entry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { at, lasts, is_met, fault } = self;
-        let met = if *is_met { ", met by a version" } else { "" };
-        write!(f, "{:6.2} s for {:.2} s: {fault:?}{met}", at.as_secs_f64(), lasts.as_secs_f64())
+        let Self { at, duration, publishes_around, fault } = self;
+        let published =
+            if *publishes_around { ", with versions published before and after" } else { "" };
+        write!(
+            f,
+            "{:6.2} s for {:.2} s: {fault:?}{published}",
+            at.as_secs_f64(),
+            duration.as_secs_f64()
+        )
     }
 }
 
@@ -71,33 +77,33 @@
 }
 
 /// Range of times between the beginnings of two faults.
-const GAP_MS: std::ops::Range<u64> = 500..6_000;
+const GAP_BETWEEN_FAULTS_MS: std::ops::Range<u64> = 500..6_000;
 /// Range of durations of a fault.
-const LASTS_MS: std::ops::Range<u64> = 50..5_000;
+const DURATION_MS: std::ops::Range<u64> = 50..5_000;
 /// Time without faults at the end of a run, in which recovery of the deployment is checked.
-pub(crate) const CALM_END: Duration = Duration::from_secs(8);
+pub(crate) const RECOVERY_TIME: Duration = Duration::from_secs(8);
 
 impl Schedule {
     /// Generates the schedule of a seed.
-    pub fn drawn(seed: u64, length: Duration) -> Self {
+    pub fn random(seed: u64, length: Duration) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut at = Duration::from_millis(rng.random_range(0..2_000));
         let mut entries = Vec::new();
-        let end = length.saturating_sub(CALM_END);
+        let end = length.saturating_sub(RECOVERY_TIME);
         while at < end {
-            let lasts = Duration::from_millis(rng.random_range(LASTS_MS)).min(end - at);
-            let is_met = rng.random_bool(0.5);
-            entries.push(Entry { at, lasts, is_met, fault: drawn_fault(&mut rng) });
+            let duration = Duration::from_millis(rng.random_range(DURATION_MS)).min(end - at);
+            let publishes_around = rng.random_bool(0.5);
+            entries.push(Entry { at, duration, publishes_around, fault: random_fault(&mut rng) });
             // Otherwise the next fault begins at the same time.
             if rng.random_bool(0.7) {
-                at += Duration::from_millis(rng.random_range(GAP_MS));
+                at += Duration::from_millis(rng.random_range(GAP_BETWEEN_FAULTS_MS));
             }
         }
         Self { entries }
     }
 }
 
-fn drawn_scope(rng: &mut StdRng) -> Scope {
+fn random_scope(rng: &mut StdRng) -> Scope {
     match rng.random_range(0..10) {
         0 => Scope::All,
         1..5 => Scope::Readers,
@@ -105,7 +111,7 @@
     }
 }
 
-fn drawn_link(rng: &mut StdRng) -> link::Fault {
+fn random_link(rng: &mut StdRng) -> link::Fault {
     match rng.random_range(0..7) {
         0 => link::Fault::Silent,
         1 => link::Fault::OneWay,
@@ -117,14 +123,14 @@
     }
 }
 
-fn drawn_fault(rng: &mut StdRng) -> Fault {
-    let scope = drawn_scope(rng);
+fn random_fault(rng: &mut StdRng) -> Fault {
+    let scope = random_scope(rng);
     match rng.random_range(0..14) {
         0..3 => Fault::Kill(scope),
         3 => Fault::Freeze(scope),
         4 => Fault::Terminate(Scope::Share(0.2, rng.random())),
         5 => Fault::Hangup(scope),
-        6..10 => Fault::Link(scope, drawn_link(rng)),
+        6..10 => Fault::Link(scope, random_link(rng)),
         10 => Fault::Cut(Scope::Share(0.3, rng.random())),
         11 => Fault::Forget,
         12 => Fault::Return(rng.random_range(1..20)),
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, bail, ensure};
-use soak::{Case, Options, Schedule, cases, play};
+use soak::{Case, Options, Schedule, cases, run_schedule};
 
 use crate::demo;
 
@@ -49,14 +49,14 @@
         let length = Duration::from_secs(args.seconds);
         let Case { nodes, schedule, .. } = match &args.case {
             Some(name) => named(name)?,
-            None => Case { name: "", nodes: args.nodes, schedule: Schedule::drawn(seed, length) },
+            None => Case { name: "", nodes: args.nodes, schedule: Schedule::random(seed, length) },
         };
         println!("seed {seed}");
         schedule.entries.iter().for_each(|it| println!("  {it}"));
         let options = Options { seed, length, nodes, rate: args.rate };
         let outcome = runtime.block_on(async {
             tokio::select! {
-                it = play(&bin, &options, &schedule) => it,
+                it = run_schedule(&bin, &options, &schedule) => it,
                 // The processes end with the runtime.
                 _ = tokio::signal::ctrl_c() => bail!("stopped before the end of seed {seed}"),
             }
@@ -65,13 +65,13 @@
             "  {} requests, {} answered, {} by nodes in touch, {} versions, used {} ms after the next one at most, served {} ms after a start at most, {} promises broken",
             outcome.requests,
             outcome.answered,
-            outcome.in_touch,
+            outcome.checked,
             outcome.versions,
             outcome.longest_lag.as_millis(),
             outcome.longest_start.as_millis(),
-            outcome.broken.len()
+            outcome.violations.len()
         );
-        outcome.broken.iter().take(SHOWN).for_each(|it| println!("  {it}"));
+        outcome.violations.iter().take(SHOWN).for_each(|it| println!("  {it}"));
         if let Some(logs) = &outcome.logs {
             println!("  logs: {}", logs.display());
             failed.push(seed);
