--- a/crates/soak/src/cases.rs
+++ b/crates/soak/src/cases.rs
@@ -1,4 +1,5 @@
-//! Named schedules: regression cases that once violated a guarantee, and cases close to the longest chain of timeouts.
+//! Named schedules: regression cases that once violated a guarantee, and cases close to the longest chain of
+//! timeouts.
 
 use std::time::Duration;
 
@@ -43,8 +44,8 @@
     case("connections-silent-while-idle", 12, rounds)
 }
 
-/// Regression: readers whose store connection was silent kept announcing themselves as readers for a while before they
-/// stopped responding too.
+/// Regression: readers whose store connection was silent kept announcing themselves as readers for a while before
+/// they stopped responding too.
 fn readers_cut_off_then_frozen() -> Case {
     let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 2_000 + i * 9_000;
@@ -58,8 +59,8 @@
     case("readers-cut-from-the-store-then-frozen", 24, rounds)
 }
 
-/// Every node has been a reader before and holds an idle connection to the store. All these connections go silent, and
-/// then the current readers are lost in two steps.
+/// Every node has been a reader before and holds an idle connection to the store. All these connections go silent,
+/// and then the current readers are lost in two steps.
 fn successors_on_silent_connections() -> Case {
     let entries = [
         entry(1_000, 2_500, Fault::Cut(Scope::All)),
