--- a/crates/soak/src/check/tests.rs
+++ b/crates/soak/src/check/tests.rs
@@ -24,8 +24,8 @@
     violations.iter().map(|it| it.rule).collect()
 }
 
-/// Asserts the violated rules for requests given as (time in ms, target, outcome), with the node disturbed for the given
-/// range in ms.
+/// Asserts the violated rules for requests given as (time in ms, target, outcome), with the node disturbed for the
+/// given range in ms.
 #[track_caller]
 fn check(
     disturbed: Option<(u64, u64)>,
