--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Randomized fault-injection soak test. Runs many node processes on loopback, injects faults from outside, and checks
-//! the guarantees that callers and endpoints can observe.
+//! Randomized fault-injection soak test. Runs many node processes on loopback, injects faults from outside, and
+//! checks the guarantees that callers and endpoints can observe.
 //!
 //! The seed determines the schedule. Processes, the kernel's scheduler and sockets are real, so two runs of the same
-//! seed differ in timing. The soak test must not depend on node internals: it observes only what callers, endpoints and
-//! operators can observe.
+//! seed differ in timing. The soak test must not depend on node internals: it observes only what callers, endpoints
+//! and operators can observe.
 
 mod callers;
 mod cases;
