--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -24,8 +24,8 @@
     /// No fault.
     #[default]
     None,
-    /// Drops all data without closing connections. Connections that are open or opened meanwhile stay silent after the
-    /// fault has ended.
+    /// Drops all data without closing connections. Connections that are open or opened meanwhile stay silent after
+    /// the fault has ended.
     Silent,
     /// Forwards requests and drops answers.
     OneWay,
