--- a/crates/standin/src/bed.rs
+++ b/crates/standin/src/bed.rs
@@ -1,4 +1,4 @@
-//! A test bed: stand-ins in this process, nodes as processes on loopback.
+//! A test bed: stand-ins in the current process, and nodes as processes on loopback.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -12,49 +12,49 @@
 use crate::server;
 use crate::upstream::{Profile, Upstream};
 
-/// Nodes that the others know at their start.
+/// Number of nodes that serve as seeds for the others.
 const SEEDS: usize = 3;
-/// Time to start all nodes.
+/// Limit for the start of all nodes, and for waiting on their reports.
 const START: Duration = Duration::from_secs(60);
 
-/// A bed with one service. `/slots/…` may be repeated and hedged, `/bookings/…` is sent again only if
-/// it did not run, and `/archives/…` is a long answer.
+/// A test bed with one service. Requests for `/slots/…` may be repeated and hedged, requests for `/bookings/…` are
+/// repeated only if they did not run, and answers to `/archives/…` are long.
 pub struct Bed {
-    /// The nodes.
+    /// The node processes.
     pub nodes: Vec<Node>,
-    /// The endpoints.
+    /// The endpoints of the service.
     pub upstreams: Vec<Upstream>,
-    /// The platform.
+    /// The stand-in platform.
     pub platform: Platform,
     platform_addr: std::net::SocketAddr,
-    /// The documents that were published first.
+    /// The resources that were published at the start.
     pub resources: Vec<Resource>,
     _dir: tempfile::TempDir,
 }
 
-/// What a bed consists of.
+/// Layout of a test bed.
 #[derive(Clone, Debug)]
 pub struct Layout {
     /// Number of nodes.
     pub nodes: usize,
     /// Number of endpoints.
     pub endpoints: usize,
-    /// How each endpoint works.
+    /// Capacity and service time of each endpoint.
     pub profile: Profile,
-    /// Failure domains.
+    /// Failure domains over which nodes and endpoints are spread.
     pub failure_domains: Vec<&'static str>,
-    /// Way of dispatch.
+    /// Dispatch mode.
     pub mode: &'static str,
-    /// The service's bias.
+    /// Bias of the service.
     pub bias: &'static str,
-    /// The service's floor.
+    /// Floor of the service.
     pub floor: &'static str,
     /// Deadline of all routes in milliseconds.
     pub deadline_ms: u32,
 }
 
 impl Layout {
-    /// Agenda PYME's slot availability service before 40 nodes.
+    /// Layout of Agenda PYME's slot availability service behind 40 nodes.
     pub fn agenda(mode: &'static str) -> Self {
         let profile =
             Profile { slots: 3, service_us: 10_000, heavy_tail: false, cold_ms: 0, piece_us: 0 };
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Three nodes before six endpoints, for tests.
+    /// A small layout for tests: three nodes and six endpoints.
     pub fn small() -> Self {
         let profile =
             Profile { slots: 4, service_us: 2_000, heavy_tail: false, cold_ms: 0, piece_us: 0 };
         Self { nodes: 3, endpoints: 6, profile, floor: "50%", ..Self::agenda("permits") }
     }
 
-    /// Requests a second that keep this share of the slots in use.
+    /// Returns the requests per second that keep this share of the slots in use.
     pub fn rate(&self, used: f64) -> f64 {
         let slots = (self.endpoints * self.profile.slots) as f64;
         used * slots / Duration::from_micros(self.profile.service_us).as_secs_f64()
@@ -107,7 +107,7 @@
 }
 
 impl Bed {
-    /// Starts a bed of the program at `bin` and waits until all nodes are ready.
+    /// Starts a test bed with the node program at `bin` and waits until all nodes are ready.
     pub async fn start(bin: &Path, layout: &Layout) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
         let free = lab::free_addrs(1 + layout.endpoints + 3 * layout.nodes)?;
@@ -149,7 +149,7 @@
         Ok(Self { nodes, upstreams, platform, platform_addr: own[0], resources, _dir: dir })
     }
 
-    /// Waits until all nodes have a configuration in force.
+    /// Waits until all nodes have this version of the configuration in force.
     pub async fn wait_in_force(&self, version: u64) -> anyhow::Result<()> {
         self.wait_reports(|it| it["in_force"] == version).await
     }
@@ -163,7 +163,7 @@
         for it in &self.nodes {
             while !it.report().await.is_ok_and(|it| holds(&it)) {
                 if since.elapsed() > START {
-                    bail!("{} never got there: {}", it.addrs.fleet, it.report().await?);
+                    bail!("timed out; report of {}: {}", it.addrs.fleet, it.report().await?);
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -171,12 +171,12 @@
         Ok(())
     }
 
-    /// Where the platform serves.
+    /// Returns the address of the platform.
     pub fn platform_addr(&self) -> std::net::SocketAddr {
         self.platform_addr
     }
 
-    /// Lookups through all nodes in turn.
+    /// Plans lookups through all nodes in rotation.
     pub fn lookups(&self, rate: f64, seconds: f64) -> Plan {
         Plan {
             targets: self.nodes.iter().map(|it| it.addrs.traffic).collect(),
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Sum of a metric over the nodes.
+    /// Fetches a metric of all nodes and returns the sum.
     pub async fn metric(&self, name: &str) -> anyhow::Result<f64> {
         let mut sum = 0.0;
         for it in &self.nodes {
@@ -196,7 +196,7 @@
         Ok(sum)
     }
 
-    /// Ejections that the nodes have logged, by endpoint.
+    /// Returns the endpoint of each ejection that a node has logged.
     pub fn ejections(&self) -> anyhow::Result<Vec<String>> {
         let mut ejected = Vec::new();
         for it in &self.nodes {
@@ -210,18 +210,18 @@
         Ok(ejected)
     }
 
-    /// Processor seconds that the nodes have used.
+    /// Returns the CPU time that the nodes have used, in seconds.
     pub fn cpu_seconds(&self) -> f64 {
         self.nodes.iter().filter_map(|it| it.pid()).filter_map(cpu_seconds).sum()
     }
 
-    /// Resident memory of the first node in MB.
+    /// Returns the resident memory of the first node in MB.
     pub fn memory_mb(&self) -> Option<f64> {
         lab::memory_mb(self.nodes.first()?.pid()?)
     }
 }
 
-/// Clock ticks a second on Linux, as the kernel reports processor time.
+/// Clock ticks per second in which Linux reports CPU time.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 fn cpu_seconds(pid: u32) -> Option<f64> {
