--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -1,5 +1,5 @@
-//! Stand-in for callers: open-loop arrivals, so that a slow answer does not slow the next request,
-//! and latencies counted from the time at which a request was due (no coordinated omission).
+//! Stand-in for callers. Arrivals are open-loop, so that a slow answer does not delay later requests, and latencies
+//! are measured from the time at which a request was due, which avoids coordinated omission.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,15 +18,15 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// A caller gives up after this; the system answers before.
+/// Time after which a caller abandons a request. Deadlines of routes are shorter.
 const GIVE_UP: Duration = Duration::from_secs(10);
 
-/// What the callers do.
+/// Requests that the callers send.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Addresses that the balancer would spread requests over.
+    /// Addresses over which requests are spread, as by a load balancer.
     pub targets: Vec<SocketAddr>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Time for which requests are sent.
     pub duration: Duration,
@@ -36,32 +36,32 @@
     pub path: String,
 }
 
-/// What the callers saw.
+/// Results of the callers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Summary {
-    /// Requests sent.
+    /// Number of requests sent.
     pub sent: u64,
-    /// Whole answers with a success status.
+    /// Complete answers with a success status.
     pub answered: u64,
-    /// Errors that say that the request did not run.
+    /// Error answers that state that the request did not run.
     pub not_run: u64,
-    /// Errors that say that it may have run.
+    /// Error answers that state that the request may have run.
     pub unknown: u64,
-    /// Other errors.
+    /// Other error answers.
     pub other: u64,
-    /// Connections that broke, and answers that were visibly cut short.
+    /// Broken connections, timeouts, and answers that were visibly cut short.
     pub broken: u64,
-    /// Answers to another request.
+    /// Answers that belong to another request.
     pub crossed: u64,
-    /// Answers by status.
+    /// Number of answers by status.
     pub statuses: BTreeMap<u16, u64>,
-    /// Latency of whole answers in microseconds: p50, p99, p99.9 and the worst.
+    /// Latency of complete answers in microseconds: p50, p99, p99.9 and maximum.
     pub latency_us: [u64; 4],
-    /// Latency of errors in microseconds: p50 and the worst.
+    /// Latency of error answers in microseconds: p50 and maximum.
     pub error_latency_us: [u64; 2],
-    /// Identities of requests that were told to have not run.
+    /// Ids of the requests that did not run according to their answers.
     pub not_run_ids: Vec<String>,
-    /// Identities of requests that were answered.
+    /// Ids of the requests that were answered.
     pub answered_ids: Vec<String>,
 }
 
@@ -74,7 +74,7 @@
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Runs the plan and waits for the last answer.
+/// Sends the requests of a plan and waits for the last answer.
 pub async fn run(plan: Plan) -> Summary {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
