--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for tests: one request, its status, headers and whole body.
+//! A minimal HTTP/1.1 client for tests, which opens a connection for each request.
 
 use std::net::SocketAddr;
 
@@ -8,30 +8,30 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// An answer that arrived whole.
+/// A completely received answer.
 #[derive(Clone, Debug)]
 pub struct Got {
-    /// Its status.
+    /// Status of the answer.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the answer.
     pub body: Bytes,
 }
 
 impl Got {
-    /// A header as text, empty if it is absent.
+    /// Returns a header as text, or an empty string if it is absent or not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|it| it.to_str().ok()).unwrap_or_default()
     }
 
-    /// The body as text.
+    /// Returns the body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Sends one request on a connection of its own.
+/// Sends a request over a new connection and waits for the complete answer.
 pub async fn send(addr: SocketAddr, req: Request<Full<Bytes>>) -> anyhow::Result<Got> {
     let stream = TcpStream::connect(addr).await?;
     let (mut tx, conn) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
@@ -43,7 +43,7 @@
     Ok(Got { status: parts.status, headers: parts.headers, body })
 }
 
-/// A request without a body.
+/// Starts building a request to the host name that routes of the stand-in platform match by default.
 pub fn request(method: &str, path: &str) -> http::request::Builder {
     Request::builder().method(method).uri(path).header("host", "stand.in")
 }
@@ -58,7 +58,7 @@
     send(addr, request(method, path).body(Full::new(body.into()))?).await
 }
 
-/// Sends a GET request with more headers.
+/// Sends a GET request with additional headers.
 pub async fn get_with(
     addr: SocketAddr,
     path: &str,
