--- a/crates/standin/src/lab.rs
+++ b/crates/standin/src/lab.rs
@@ -1,4 +1,4 @@
-//! Runs nodes as processes on loopback, for tests and measurements.
+//! Runs nodes as processes on loopback for tests and measurements.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -11,53 +11,53 @@
 
 use crate::client;
 
-/// Ports that may be taken while free ones are sought.
+/// Number of occupied ports that the search for free ports may skip.
 const PORT_TRIES: usize = 2_000;
-/// First of the ports that are used here.
+/// First port of the range in which free ports are searched.
 const FIRST_PORT: u32 = 10_000;
-/// Number of them.
+/// Number of ports in that range.
 const PORTS: u32 = 22_000;
-/// Processes that run at the same time start their search this far apart.
+/// Distance between the first ports that test processes with consecutive process ids try.
 const PORTS_PER_PROCESS: u32 = 701;
-/// Ports that this process has tried.
+/// Number of ports that this process has tried.
 static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// Addresses of one node.
+/// Addresses and failure domain of a node.
 #[derive(Clone, Debug)]
 pub struct NodeAddrs {
-    /// Exchange with other nodes.
+    /// Address for messages of other nodes.
     pub fleet: SocketAddr,
-    /// Callers.
+    /// Address for callers.
     pub traffic: SocketAddr,
-    /// Operators.
+    /// Address of the operator API.
     pub operator: SocketAddr,
-    /// Failure domain.
+    /// Failure domain of the node.
     pub failure_domain: String,
 }
 
-/// What the nodes of a lab have in common.
+/// Options that all nodes of a test have in common.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program.
+    /// Path of the node program.
     pub binary: PathBuf,
-    /// The stand-in platform.
+    /// Address of the stand-in platform.
     pub platform: SocketAddr,
-    /// Way of dispatch, as in the settings.
+    /// Dispatch mode, as in the settings.
     pub mode: String,
-    /// Least severity logged, as in the settings.
+    /// Minimum log level, as in the settings.
     pub log_level: String,
-    /// The balancer's lag.
+    /// Time until the load balancer stops sending requests to a draining node, in milliseconds.
     pub lag_ms: u64,
-    /// Nodes to ask for others at the start.
+    /// Addresses of the nodes that a node contacts first to discover others.
     pub seeds: Vec<SocketAddr>,
-    /// The services' floor and bias, which the platform does not tell.
+    /// Floor of the services, which the platform does not provide.
     pub floor: String,
-    /// See above.
+    /// Bias of the services, which the platform does not provide.
     pub bias: String,
 }
 
 impl Options {
-    /// Common options for a program and a platform.
+    /// Creates options with defaults for a program and a platform.
     pub fn new(binary: &Path, platform: SocketAddr) -> Self {
         Self {
             binary: binary.to_owned(),
@@ -72,23 +72,23 @@
     }
 }
 
-/// One node as a process; dropping it kills the process.
+/// A node that runs as a process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct Node {
-    /// Its addresses.
+    /// Addresses of the node.
     pub addrs: NodeAddrs,
-    /// Where its log is.
+    /// Path of the log file.
     pub log: PathBuf,
     settings: PathBuf,
     binary: PathBuf,
     child: Option<Child>,
 }
 
-/// Addresses on loopback that are free for both UDP and TCP.
+/// Finds `n` loopback addresses that are free for both UDP and TCP.
 ///
-/// They lie below the ports that the kernel gives to outgoing connections; among those, the load of
-/// one test took the addresses of another between the search and the start. Each call goes on where
-/// the last one ended, so that no address is given twice soon.
+/// The ports lie below the ephemeral ports that the kernel assigns to outgoing connections. With ephemeral ports,
+/// connections of one test occupied addresses of another between the search and the start of its processes. Each call
+/// continues where the previous one ended, so that an address is not returned again soon.
 pub fn free_addrs(n: usize) -> anyhow::Result<Vec<SocketAddr>> {
     let mut free = Vec::new();
     for _ in 0..n + PORT_TRIES {
@@ -106,12 +106,12 @@
     bail!("too few ports are free for both UDP and TCP: end other test runs")
 }
 
-/// Addresses for `n` nodes, spread over the failure domains.
+/// Finds addresses for `n` nodes, spread over the failure domains.
 pub fn node_addrs(n: usize, failure_domains: &[&str]) -> anyhow::Result<Vec<NodeAddrs>> {
     Ok(nodes_at(&free_addrs(3 * n)?, failure_domains))
 }
 
-/// Nodes at the given addresses, three for each, spread over the failure domains.
+/// Assigns three of the given addresses to each node and spreads the nodes over the failure domains.
 pub fn nodes_at(addrs: &[SocketAddr], failure_domains: &[&str]) -> Vec<NodeAddrs> {
     let node = |(i, it): (usize, &[SocketAddr])| NodeAddrs {
         fleet: it[0],
@@ -123,7 +123,7 @@
 }
 
 impl Node {
-    /// Writes the settings into `dir` and starts the process.
+    /// Writes the settings file into `dir` and starts the process.
     pub fn start(dir: &Path, addrs: &NodeAddrs, options: &Options) -> anyhow::Result<Self> {
         let port = addrs.fleet.port();
         let key = dir.join("fleet.key");
@@ -139,13 +139,13 @@
         Ok(node)
     }
 
-    /// Starts the process again after it has ended; as a replaced VM it remembers nothing.
+    /// Kills the process if it is running and starts a new one, without any state, as on a replaced VM.
     pub fn restart(&mut self) -> anyhow::Result<()> {
         let log = self.open_log()?;
         self.restart_with(log.into())
     }
 
-    /// The same, with a standard output that nobody reads.
+    /// Restarts the process with a pipe as standard output that is never read.
     pub fn restart_unread(&mut self) -> anyhow::Result<()> {
         self.restart_with(Stdio::piped())
     }
@@ -168,14 +168,14 @@
         std::fs::File::options().create(true).append(true).open(&self.log)
     }
 
-    /// Replaces a text in the settings file.
+    /// Replaces text in the settings file.
     pub fn edit_settings(&self, old: &str, new: &str) -> anyhow::Result<()> {
         let text = std::fs::read_to_string(&self.settings)?;
         std::fs::write(&self.settings, text.replace(old, new))?;
         Ok(())
     }
 
-    /// The process's identity.
+    /// Returns the process id, unless the process was killed by the test.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
@@ -188,9 +188,9 @@
         }
     }
 
-    /// Sends a signal by its name, as `TERM`, `STOP` or `CONT`.
+    /// Sends the signal with the given name, such as `TERM`, `STOP` or `CONT`.
     pub fn signal(&self, name: &str) -> anyhow::Result<()> {
-        let Some(pid) = self.pid() else { bail!("the node does not run") };
+        let Some(pid) = self.pid() else { bail!("the node is not running") };
         let status = Command::new("kill").args([&format!("-{name}"), &pid.to_string()]).status()?;
         if !status.success() {
             bail!("signal {name} was not delivered");
@@ -198,25 +198,25 @@
         Ok(())
     }
 
-    /// Drops the frames that this node sends to others; an empty list heals the cut.
+    /// Makes the node drop its frames to the given addresses. An empty list ends the cut.
     pub async fn cut(&self, to: &[SocketAddr]) -> anyhow::Result<()> {
         let body = serde_json::json!({ "to": to }).to_string();
         let req =
             client::request("PUT", "/v1/faults/cut").header("content-type", "application/json");
         let got = client::send(self.addrs.operator, req.body(Full::new(body.into()))?).await?;
         if !got.status.is_success() {
-            bail!("the cut was refused: {}", got.text());
+            bail!("the node rejected the cut: {}", got.text());
         }
         Ok(())
     }
 
-    /// Whether the process has ended, and how.
+    /// Returns the exit code if the process has ended, -1 if a signal ended it.
     pub fn exit_code(&mut self) -> anyhow::Result<Option<i32>> {
         let Some(child) = &mut self.child else { return Ok(None) };
         Ok(child.try_wait()?.map(|it| it.code().unwrap_or(-1)))
     }
 
-    /// Waits until the node is ready.
+    /// Waits until the node is ready, at most for `limit`.
     pub async fn wait_ready(&self, limit: Duration) -> anyhow::Result<()> {
         let since = Instant::now();
         loop {
@@ -232,13 +232,13 @@
         }
     }
 
-    /// The node's report.
+    /// Fetches the node's report from its operator API.
     pub async fn report(&self) -> anyhow::Result<serde_json::Value> {
         let got = client::get(self.addrs.operator, "/v1/fleet").await?;
         Ok(serde_json::from_slice(&got.body)?)
     }
 
-    /// A metric's value, summed over its labels.
+    /// Fetches the value of a metric, summed over its labels.
     pub async fn metric(&self, name: &str) -> anyhow::Result<f64> {
         let got = client::get(self.addrs.operator, "/metrics").await?;
         let text = got.text();
@@ -249,7 +249,7 @@
     }
 }
 
-/// Resident memory of a process in MB.
+/// Returns the resident memory of a process in MB.
 pub fn memory_mb(pid: u32) -> Option<f64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|it| it.starts_with("VmRSS:"))?;
