--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for the system's neighbours: the platform, upstreams that fail gray, and callers.
+//! Stand-ins for the systems around the proxy: the platform, upstreams with gray failures, and callers.
 //!
-//! They serve tests and measurements and are never shipped. They must not know the insides of the
-//! system: they speak the protocols of docs/PROTOCOL.md, and `net` drives public state machines.
+//! They are used by tests and measurements and are never shipped. They must not depend on internals of the proxy:
+//! they implement the protocols of docs/PROTOCOL.md, and `net` drives only public state machines.
 
 pub mod bed;
 pub mod caller;
