--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as programs.
+//! Command-line entry point of the stand-ins.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,54 +19,54 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serves a platform.
+    /// Runs a stand-in platform.
     Platform {
-        /// Its address.
+        /// Address to listen on.
         #[arg(long)]
         listen: SocketAddr,
-        /// Resources of the first revision.
+        /// JSON file with resources to publish at the start.
         #[arg(long)]
         resources: Option<PathBuf>,
     },
-    /// Serves endpoints on ports that follow each other.
+    /// Runs upstream endpoints on consecutive ports.
     Upstream {
-        /// Address of the first.
+        /// Address of the first endpoint.
         #[arg(long)]
         listen: SocketAddr,
         /// Number of endpoints.
         #[arg(long, default_value_t = 1)]
         count: u16,
-        /// Slots of each.
+        /// Requests that each endpoint handles concurrently.
         #[arg(long, default_value_t = 3)]
         slots: usize,
         /// Mean service time in microseconds.
         #[arg(long, default_value_t = 10_000)]
         service_us: u64,
-        /// One request in a hundred takes twenty times as long.
+        /// Make one request in a hundred take twenty times as long.
         #[arg(long)]
         heavy_tail: bool,
-        /// For this long after its start each request takes three times as long.
+        /// Time after the start of an endpoint during which requests take three times as long, in milliseconds.
         #[arg(long, default_value_t = 0)]
         cold_ms: u64,
-        /// Pause between pieces of a download in microseconds.
+        /// Pause between chunks of a download in microseconds.
         #[arg(long, default_value_t = 0)]
         piece_us: u64,
     },
     /// Sends requests and prints a summary as JSON.
     Caller {
-        /// Where to send them, in turn.
+        /// Addresses to send requests to, in rotation.
         #[arg(long, required = true, value_delimiter = ',')]
         targets: Vec<SocketAddr>,
-        /// Requests a second.
+        /// Requests per second.
         #[arg(long)]
         rate: f64,
-        /// Seconds.
+        /// Time for which requests are sent, in seconds.
         #[arg(long)]
         seconds: f64,
-        /// Method.
+        /// HTTP method of the requests.
         #[arg(long, default_value = "GET")]
         method: String,
-        /// Path.
+        /// Path of the requests.
         #[arg(long)]
         path: String,
     },
