--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the network between nodes: their state machines, without sockets or processes, over
-//! a network that loses and cuts, in virtual time.
+//! Simulated network between nodes. Runs the nodes' state machines in virtual time, without sockets or processes,
+//! over a network with lost frames and cuts.
 
 mod links;
 mod platform;
@@ -21,45 +21,46 @@
 use links::Link;
 use platform::{Answer, Call, Platform, WATCH};
 
-/// Virtual time between two turns of a node.
+/// Virtual time between two ticks of a node.
 const TURN: Duration = Duration::from_millis(50);
-/// Nodes that the others know at their start.
+/// Number of nodes that serve as seeds for the others.
 const SEEDS: usize = 3;
-/// Failure domains.
+/// Number of failure domains.
 const DOMAINS: u64 = 3;
-/// A fetch that has not ended by then is given up.
+/// Time after which a fetch is abandoned.
 const FETCH_LIMIT: Duration = Duration::from_secs(2);
-/// Time that an answer of the platform may take beside that.
+/// Time that the answer to a watch may take beyond the watch's own waiting time.
 const WATCH_PATIENCE: Duration = Duration::from_millis(400);
-/// Pause after a call without an answer; it doubles up to the longest.
+/// Pause after the first call without an answer; doubles with each further one up to `LONGEST_PAUSE`.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest such pause.
+/// Longest pause after a call without an answer.
 const LONGEST_PAUSE: Duration = Duration::from_millis(2_500);
-/// The platform sends documents as text of this many times their length.
+/// Factor by which the platform's text encoding lengthens documents.
 const PLATFORM_LENGTH: f64 = 4.0 / 3.0;
-/// Length of an entry of the registry as the platform sends it, in bytes.
+/// Length of a registry entry in the platform's encoding, in bytes.
 const ENTRY_BYTES: usize = 330;
 
-/// Nodes and what is between them.
+/// A simulated fleet: nodes, the network between them, and a platform.
 pub struct Net {
-    /// The nodes.
+    /// State machines of the nodes.
     pub nodes: Vec<Exchange>,
-    /// Virtual time.
+    /// Current virtual time.
     pub now: Time,
-    /// Cuts in one direction: from, to.
+    /// One-way cuts as pairs of sender and receiver.
     pub cut: Vec<(usize, usize)>,
-    /// Bytes sent and received by all nodes.
+    /// Bytes of frames that all nodes sent and received.
     pub control_bytes: u64,
-    /// When each node put its latest configuration in force.
+    /// Time at which each node put its latest configuration in force.
     pub in_force_at: BTreeMap<usize, Time>,
-    /// When each node first knew endpoints.
+    /// Time at which each node first had the registry.
     pub endpoints_at: BTreeMap<usize, Time>,
-    /// Bytes that nodes have fetched from each other.
+    /// Bytes that nodes fetched from each other over their links.
     pub fetched_bytes: u64,
+    /// Index of each node by address.
     places: FxHashMap<SocketAddr, usize>,
-    /// Nodes that have their first configuration in force and have told nobody yet.
+    /// Nodes that have put their first configuration in force and whose phase has not changed yet.
     just_configured: Vec<usize>,
-    /// Without links everything that is fetched arrives at once.
+    /// Links of the nodes. Without links, fetches complete immediately.
     links: Vec<Link>,
     platform: Platform,
     loss: f64,
@@ -67,12 +68,12 @@
     keys: Keys,
 }
 
-/// Length of a document in bytes, as the platform holds it.
+/// Length of a document in bytes before the platform's text encoding.
 fn length(document: &Document) -> usize {
     serde_json::to_vec(document).expect("string keys only").len()
 }
 
-/// Address of a node.
+/// Returns the address of a node.
 pub fn addr(i: usize) -> SocketAddr {
     ([127, 0, (i / 250) as u8, (i % 250) as u8 + 1], 7400).into()
 }
@@ -91,7 +92,7 @@
 }
 
 impl Net {
-    /// `n` nodes that have just started; a share `loss` of frames is lost.
+    /// Creates `n` newly started nodes over a network that loses a share `loss` of frames.
     pub fn new(n: usize, loss: f64) -> Self {
         let mut rng = StdRng::seed_from_u64(7);
         Self {
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Gives every node a link of so many Mbit/s.
+    /// Gives every node a link of `mbps` Mbit/s.
     pub fn with_links(mut self, mbps: f64) -> Self {
         self.links = self.nodes.iter().map(|_| Link::new(mbps)).collect();
         self
     }
 
-    /// Starts all nodes anew, each with a link of so many Mbit/s.
+    /// Restarts all nodes, node `i` with a link of `mbps(i)` Mbit/s.
     pub fn with_own_links(mut self, mbps: impl Fn(usize) -> u32) -> Self {
         self.links = (0..self.nodes.len()).map(|i| Link::new(f64::from(mbps(i)))).collect();
         for i in 0..self.nodes.len() {
@@ -128,27 +129,27 @@
         self
     }
 
-    /// The platform has so many endpoints more.
+    /// Adds changes to the platform's registry.
     pub fn publish_endpoints(&mut self, entries: impl Iterator<Item = RegistryChange>) {
         self.platform.registry.extend(entries);
     }
 
-    /// The platform comes back from the copy that it had after so many endpoints.
+    /// Restores the platform's registry from the copy that it had after this many changes.
     pub fn come_back(&mut self, endpoints: usize) {
         self.platform.come_back(endpoints);
     }
 
-    /// Calls to the platform so far. Only nodes with links make any.
+    /// Returns the number of calls to the platform. Only nodes with links make calls.
     pub fn platform_calls(&self) -> u64 {
         self.platform.calls_made()
     }
 
-    /// The platform acknowledges a configuration. Only nodes with links read it; see `run_on_links`.
+    /// Publishes a configuration on the platform. Only nodes with links read it; see `run_on_links`.
     pub fn publish(&mut self, document: Document) {
         self.platform.newest = Some(document);
     }
 
-    /// Lets time pass while nodes read the platform and fetch from each other over their links.
+    /// Advances time while nodes read the platform and fetch from each other over their links.
     pub fn run_on_links(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -173,8 +174,9 @@
         }
     }
 
-    /// A call that is answered is followed by the next at once: a watch brings what is newer as soon as it
-    /// is there. A node whose calls wait behind what it sends has no answer in time, and pauses.
+    /// Completes the platform call of a node and starts the next one. The next call starts immediately after an
+    /// answer, as a watch returns changes as soon as they exist. A node whose calls are delayed by its own transfers
+    /// gets no answer in time, and pauses.
     fn wait_for_platform(&mut self, i: usize) {
         if let Some(call) = self.platform.calls.get(&i).cloned() {
             if self.now < call.ends {
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Lets time pass. Nobody reads the platform meanwhile.
+    /// Advances time without reads of the platform.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Lets time pass while those whose duty it is read a platform that has this configuration.
+    /// Advances time while the elected readers read a platform that has this version of the configuration.
     pub fn run_with_platform(&mut self, time: Duration, version: u64) {
         let end = self.now + time;
         while self.now < end {
@@ -275,19 +277,19 @@
         }
     }
 
-    /// A node reads a configuration from the platform.
+    /// Makes a node read this version of the configuration from the platform.
     pub fn read(&mut self, i: usize, version: u64) {
         let document = Document { version, ..Document::default() };
         self.take(i, Published { document: Some(document), ..Published::default() });
     }
 
-    /// A node does something else.
+    /// Sets the phase of a node.
     pub fn set_phase(&mut self, i: usize, phase: Phase) {
         let effects = self.nodes[i].set_phase(phase);
         self.apply(i, effects);
     }
 
-    /// A node is replaced and remembers nothing.
+    /// Replaces a node by one without any state.
     pub fn restart(&mut self, i: usize) {
         let capacity = self.nodes[i].capacity();
         self.nodes[i] = started(self.now, i, 2, capacity, &mut self.rng);
@@ -295,18 +297,18 @@
         self.endpoints_at.remove(&i);
     }
 
-    /// The version in force at each node.
+    /// Returns the version in force at each node.
     pub fn in_force(&self) -> Vec<u64> {
         self.nodes.iter().map(|it| it.replica().facts().version).collect()
     }
 
-    /// Node `i` has come to reject a request.
+    /// Makes node `i` announce the rejection of a request.
     pub fn reject(&mut self, i: usize, it: Rejection) {
         let effects = self.nodes[i].tell_rejections(self.now, vec![it]);
         self.apply(i, effects);
     }
 
-    /// Nodes whose duty it is to read the platform.
+    /// Returns the number of elected readers of the platform.
     pub fn readers(&self) -> usize {
         let reads = |it: &&Exchange| it.duty().reads(self.now) == Reads::Everything;
         self.nodes.iter().filter(reads).count()
@@ -316,7 +318,7 @@
         if self.nodes[i].replica_mut().accept(Arc::new(document.clone())) {
             self.in_force_at.insert(i, self.now);
         }
-        // As the control thread does, at its next turn.
+        // The control thread changes the phase in its next iteration, too.
         if self.nodes[i].phase() == Phase::Starting && !self.links.is_empty() {
             self.just_configured.push(i);
         }
