--- a/crates/standin/src/net/links.rs
+++ b/crates/standin/src/net/links.rs
@@ -1,5 +1,5 @@
-//! Links of the nodes: what nodes send each other over TCP shares the sender's link, and the sender's own
-//! calls to the platform wait behind it.
+//! Simulated links of the nodes. TCP transfers between nodes share the sender's link and delay the sender's own calls
+//! to the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,35 +7,35 @@
 use fleet::{Admitted, Backlog, Bundle};
 use policy::Time;
 
-/// Bytes of one connection that wait in front of a full link: a usual TCP window.
+/// Bytes that one connection queues at a saturated link: a typical TCP window.
 const WINDOW: f64 = 64.0 * 1024.0;
 
-/// One transfer from a node to another.
+/// A transfer from one node to another.
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub(super) to: usize,
     pub(super) bundle: Bundle,
-    /// Bytes that are still to be sent.
+    /// Bytes that remain to be sent.
     left: f64,
     since: Time,
     _admitted: Admitted,
 }
 
-/// What has become of transfers.
+/// Transfers that ended in a step.
 #[derive(Debug, Default)]
 pub(super) struct Ended {
-    /// Those that have arrived.
+    /// Transfers that completed.
     pub(super) arrived: Vec<Transfer>,
-    /// Those that were given up.
+    /// Transfers that exceeded the time limit.
     pub(super) late: Vec<Transfer>,
 }
 
-/// The sending side of one node's link.
+/// Sending direction of a node's link.
 #[derive(Debug)]
 pub(super) struct Link {
     bytes_per_s: f64,
     backlog: Arc<Backlog>,
-    /// Transfers under way; they share the link equally.
+    /// Active transfers, which share the link equally.
     active: Vec<Transfer>,
 }
 
@@ -44,7 +44,7 @@
         Self { bytes_per_s: mbps * 125_000.0, backlog: Backlog::for_link(mbps), active: Vec::new() }
     }
 
-    /// Takes on a transfer if the backlog admits it.
+    /// Starts a transfer if the backlog admits it; returns whether it did.
     pub(super) fn begin(&mut self, now: Time, to: usize, bundle: Bundle, bytes: usize) -> bool {
         let Some(admitted) = self.backlog.admit(bytes) else { return false };
         let left = bytes as f64;
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Lets time pass; returns the transfers that have ended. Those older than `limit` are given up.
+    /// Advances time by `turn` and returns the transfers that ended. Transfers older than `limit` are abandoned.
     pub(super) fn turn(&mut self, now: Time, turn: Duration, limit: Duration) -> Ended {
         let late = self.active.extract_if(.., |it| now.since(it.since) >= limit).collect();
         let share = self.bytes_per_s * turn.as_secs_f64() / self.active.len().max(1) as f64;
@@ -60,12 +60,12 @@
         Ended { arrived: self.active.extract_if(.., |it| it.left <= 0.0).collect(), late }
     }
 
-    /// How long a call of this node waits before it is on its way.
+    /// Returns the time for which active transfers delay a call of this node.
     pub(super) fn delay(&self) -> Duration {
         Duration::from_secs_f64(self.active.len() as f64 * WINDOW / self.bytes_per_s)
     }
 
-    /// Time that so many bytes take to this node while nothing else is under way to it.
+    /// Returns the time that this node takes to receive this many bytes over an otherwise idle link.
     pub(super) fn time_for(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.bytes_per_s)
     }
