--- a/crates/standin/src/net/platform.rs
+++ b/crates/standin/src/net/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform has published, the calls of nodes, and how many there were.
+//! Simulated platform: the published configuration and registry, and the calls of nodes with their count.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,56 +6,57 @@
 use policy::Time;
 use resources::{Document, Position, Published, RegistryChange};
 
-/// A node that waits for news of the platform hears of it after this if there is none.
+/// Time after which a watch is answered if there are no changes.
 pub(super) const WATCH: Duration = Duration::from_millis(700);
-/// Entries in one page of the registry.
+/// Maximum number of registry entries in a page.
 const PAGE: usize = 500;
 
-/// What the platform has published, and who waits for it.
+/// The published configuration and registry, and the calls of nodes.
 #[derive(Default)]
 pub(super) struct Platform {
+    /// The newest configuration.
     pub(super) newest: Option<Document>,
-    /// Changes of the registry; their revisions are 1, 2, 3, ….
+    /// Changes of the registry, with the revisions 1, 2, 3, ….
     pub(super) registry: Vec<RegistryChange>,
-    /// Times that it has come back from an older copy.
+    /// Number of times that the registry was restored from an older copy.
     returns: u32,
-    /// Calls that were made.
+    /// Number of calls.
     made: u64,
-    /// When each node that reads last made a call that counts. Here a node asks again each turn; a watch that waits
-    /// is one call.
+    /// Time of the last counted call of each reader. The simulation polls in every tick, but a watch that waits
+    /// counts as one call.
     pub(super) counted: BTreeMap<usize, Time>,
-    /// The call that each node has under way.
+    /// Active call of each node.
     pub(super) calls: BTreeMap<usize, Call>,
-    /// How long each node has paused after its last call, if that had no answer.
+    /// Pause of each node after its latest call, if the call had no answer.
     pub(super) pauses: BTreeMap<usize, Duration>,
 }
 
-/// A call to the platform.
+/// An active call to the platform.
 #[derive(Clone)]
 pub(super) struct Call {
     pub(super) ends: Time,
     pub(super) answer: Answer,
 }
 
-/// What a call brings.
+/// Result of a call.
 #[derive(Clone)]
 pub(super) enum Answer {
-    /// Nothing in time.
+    /// No answer in time.
     Lost,
-    /// What is newer, if anything is.
+    /// Changes of the configuration and the registry, possibly none.
     News(Published),
-    /// The same of the configuration alone.
+    /// The configuration, if a newer version exists.
     Configuration(Option<Document>),
 }
 
 impl Platform {
-    /// Calls so far.
+    /// Returns the number of calls.
     pub(super) fn calls_made(&self) -> u64 {
         self.made
     }
 
-    /// Counts the calls of a node for `news`: all of it by pages, a watch that goes on from a peer's copy with the
-    /// configuration, or a watch alone.
+    /// Counts the calls that a node makes to get `news`: the configuration and all pages of a full read, two calls
+    /// when the node starts a watch from a peer's copy, or one call for a continued watch.
     pub(super) fn count(&mut self, now: Time, i: usize, news: &Published, brings: bool) {
         self.made += match self.counted.get(&i) {
             _ if news.after.is_none() => 1 + news.endpoints.len().div_ceil(PAGE) as u64,
@@ -66,18 +67,19 @@
         self.counted.insert(i, now);
     }
 
-    /// Where a change of the registry stands.
+    /// Returns the position of a registry change.
     fn at(&self, revision: usize) -> Position {
         Position { era: self.returns + 1, revision: revision as u64 }
     }
 
-    /// It comes back from the copy that it had at this revision of the registry.
+    /// Restores the registry from the copy that it had at this revision.
     pub(super) fn come_back(&mut self, revision: usize) {
         self.registry.truncate(revision);
         self.returns += 1;
     }
 
-    /// What has changed after a position, beside a configuration; everything if that is of an era before.
+    /// Returns the registry changes after a position, together with a configuration. Returns the complete registry if
+    /// the position belongs to an earlier era.
     pub(super) fn since(&self, known: Position, document: Option<Document>) -> Published {
         let latest = self.at(self.registry.len());
         let after = Some(known).filter(|it| it.is_known() && it.era == latest.era);
