--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform: its store, read only for the system, with faults and a count of calls.
-//! It speaks the protocol that the system's one client speaks; see docs/PLATFORM.md.
+//! Stand-in for the platform: its key-value store, read-only for the proxy, with injectable faults and a count of
+//! calls. It implements the part of the protocol that the proxy uses; see docs/PLATFORM.md.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,26 +19,26 @@
 
 use crate::server::{self, Answer, answer};
 
-/// Key of the newest configuration.
+/// Key of the configuration.
 pub const CONFIG_KEY: &str = "op/config";
-/// A failure domain is evacuated while there is an item below this.
+/// Key prefix of evacuations: a failure domain is evacuated while its key exists.
 const EVACUATIONS: &str = "op/evacuate/";
-/// Endpoints announce themselves below this.
+/// Key prefix of endpoint registrations.
 const ENDPOINTS: &str = "servers/";
-/// Hosts of routes that name none: those that the stand-ins for callers send.
+/// Hosts of routes without a host: those that the stand-in callers send.
 const HOSTS: [&str; 2] = ["stand.in", "127.0.0.1"];
-/// Items in one page.
+/// Maximum number of items in a page.
 const PAGE: usize = 500;
 
-/// What the platform does instead of its work.
+/// Fault of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Answers nothing.
+    /// Closes connections without an answer.
     Down,
-    /// Serves the first configuration that it ever had, and no changes.
+    /// Serves the first configuration that was published, and no changes.
     Stale,
 }
 
@@ -46,35 +46,35 @@
 struct Event {
     revision: u64,
     key: String,
-    /// Nothing if the item was removed.
+    /// `None` if the item was removed.
     value: Option<Vec<u8>>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Configurations that were published.
+    /// Version of the latest published configuration.
     version: u64,
     first_config: Vec<u8>,
     revision: u64,
     items: BTreeMap<String, Event>,
-    /// All changes that the store has acknowledged and not lost.
+    /// All changes that the store has acknowledged, except those that a restore has undone.
     log: Vec<Event>,
-    /// Changes that can still be asked for.
+    /// Changes that watches can still read.
     history: Vec<Event>,
-    /// Changes up to this revision are forgotten.
+    /// Changes up to this revision have been discarded from the history.
     forgotten: u64,
-    /// Values that stand in the place of what was written.
+    /// Values that are served instead of the written ones, by key.
     spoiled: BTreeMap<String, Value>,
     fault: Fault,
-    /// Times that the store has come back from an older copy.
+    /// Number of times that the store was restored from an older copy.
     returns: u64,
-    /// What is told in its place; nothing to leave it out.
+    /// Overrides the era in answers; `Some(None)` omits the header.
     told_era: Option<Option<String>>,
     calls: u64,
 }
 
 impl State {
-    /// The era as the answers tell it.
+    /// Returns the era for the header of answers, if the header is sent.
     fn era(&self) -> Option<String> {
         self.told_era.clone().unwrap_or(Some((self.returns + 1).to_string()))
     }
@@ -105,7 +105,7 @@
         self.history.push(event);
     }
 
-    /// An item as it is told.
+    /// Returns an item as the store serves it under the current fault.
     fn show(&self, it: &Event) -> Value {
         let mut shown = item(it);
         if self.fault == Fault::Stale && it.key == CONFIG_KEY {
@@ -118,20 +118,20 @@
     }
 }
 
-/// An organisation with the keys of its callers, as operators publish it.
+/// An organisation with the API keys of its callers, as operators publish it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Keyed {
-    /// Its name.
+    /// Name of the organisation.
     pub name: String,
-    /// Its keys.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Requests a second that it may make; 0 for any number.
+    /// Requests per second that the organisation may make; 0 for no limit.
     pub rate_per_s: f64,
-    /// Requests beyond that at once.
+    /// Burst of requests beyond the rate.
     pub burst: f64,
 }
 
-/// The platform.
+/// A stand-in platform. Clones share their state.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
@@ -139,18 +139,18 @@
 }
 
 impl Platform {
-    /// Serves on a listener for ever.
+    /// Serves on a listener forever.
     pub async fn serve(self, listener: TcpListener) {
         server::serve(listener, move |req| self.clone().handle(req)).await;
     }
 
-    /// Publishes resources as the next configuration, whose version is returned, and lets the
-    /// endpoints of its services announce themselves.
+    /// Publishes resources as the next configuration version, registers the endpoints of its services, and returns
+    /// the version.
     pub fn publish(&self, resources: &[Resource]) -> u64 {
         self.publish_config(resources, |_| {})
     }
 
-    /// The same with organisations, whose callers show keys.
+    /// Publishes resources like `publish`, together with organisations whose callers authenticate by API key.
     pub fn publish_keyed(&self, resources: &[Resource], organisations: &[Keyed]) -> u64 {
         let row = |it: &Keyed| json!([it.name, it.keys, it.rate_per_s, it.burst]);
         let rows: Vec<Value> = organisations.iter().map(row).collect();
@@ -177,31 +177,31 @@
         version
     }
 
-    /// Puts any bytes in the place of the configuration.
+    /// Replaces the configuration by arbitrary bytes.
     pub fn put_raw_config(&self, buf: &[u8]) {
         self.state.lock().put(CONFIG_KEY, Some(buf.to_vec()));
         self.changed.notify_waiters();
     }
 
-    /// Puts any bytes under any key, as another writer may.
+    /// Writes arbitrary bytes under a key, as another writer could.
     pub fn put_raw(&self, key: &str, buf: &[u8]) {
         self.state.lock().put(key, Some(buf.to_vec()));
         self.changed.notify_waiters();
     }
 
-    /// Puts something that is not even base64 text in the place of an item's value.
+    /// Makes the store serve a JSON value that need not be base64 text as the value of an item.
     pub fn spoil(&self, key: &str, value: Value) {
         self.state.lock().spoiled.insert(key.to_owned(), value);
         self.put_raw(key, b"");
     }
 
-    /// Lets one more endpoint of a service announce itself.
+    /// Registers an endpoint of a service.
     pub fn register(&self, service: &str, endpoint: &Endpoint) {
         let entry = entry(service, endpoint, endpoint.slots).to_string();
         self.put_raw(&format!("{ENDPOINTS}{}", endpoint.id), entry.as_bytes());
     }
 
-    /// Lets an endpoint say that it is going away.
+    /// Marks the registration of an endpoint as draining.
     pub fn leave(&self, id: &str) {
         let key = format!("{ENDPOINTS}{id}");
         let mut state = self.state.lock();
@@ -219,59 +219,59 @@
         self.changed.notify_waiters();
     }
 
-    /// Asks for the evacuation of a failure domain.
+    /// Requests the evacuation of a failure domain.
     pub fn evacuate(&self, failure_domain: &str) {
         self.put_raw(&format!("{EVACUATIONS}{failure_domain}"), b"{}");
     }
 
-    /// Takes an evacuation back.
+    /// Ends the evacuation of a failure domain.
     pub fn take_back(&self, failure_domain: &str) {
         self.state.lock().put(&format!("{EVACUATIONS}{failure_domain}"), None);
         self.changed.notify_waiters();
     }
 
-    /// Removes the entry of an endpoint.
+    /// Removes the registration of an endpoint.
     pub fn remove(&self, id: &str) {
         self.state.lock().put(&format!("{ENDPOINTS}{id}"), None);
         self.changed.notify_waiters();
     }
 
-    /// Forgets all changes that were made until now.
+    /// Discards the history of changes, so that watches of older revisions fail.
     pub fn forget(&self) {
         let mut state = self.state.lock();
         state.forgotten = state.revision;
         state.history.clear();
     }
 
-    /// The store's revision.
+    /// Returns the current revision of the store.
     pub fn revision(&self) -> u64 {
         self.state.lock().revision
     }
 
-    /// The store comes back from the copy that it had at `revision`: what was written since is lost, and revisions are
-    /// given out again.
+    /// Restores the store from the copy that it had at `revision`. Later writes are lost, and their revisions are
+    /// assigned again.
     pub fn come_back(&self, revision: u64) {
         self.state.lock().restore(revision);
         self.changed.notify_waiters();
     }
 
-    /// Answers tell this as the era; nothing to leave it out. For answers that no store should give.
+    /// Overrides the era in answers; `None` omits the header. Simulates answers that a correct store does not give.
     pub fn tell_era(&self, era: Option<&str>) {
         self.state.lock().told_era = Some(era.map(str::to_owned));
     }
 
-    /// The answer to a call that is turned away, as it goes over the wire.
+    /// Returns the raw HTTP answer to a call that is rejected with status 503.
     pub fn refusal(&self) -> String {
         let era = self.state.lock().era().unwrap_or_default();
         format!("HTTP/1.1 503 Service Unavailable\r\nstore-era: {era}\r\ncontent-length: 0\r\n\r\n")
     }
 
-    /// Switches a fault.
+    /// Sets the fault.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().fault = fault;
     }
 
-    /// Calls from the system so far.
+    /// Returns the number of calls from nodes.
     pub fn calls(&self) -> u64 {
         self.state.lock().calls
     }
@@ -345,12 +345,13 @@
             if let Some(res) = self.changes(prefix, after, tokio::time::Instant::now() >= until) {
                 return Ok(res);
             }
-            // Running out of time is answered on the next turn.
+            // A timeout is answered in the next iteration.
             let _ = tokio::time::timeout_at(until, changed).await;
         }
     }
 
-    /// The changes after a revision; nothing while there are none and time is left.
+    /// Returns the answer to a watch after a revision, or `None` while there are no changes and the watch is not
+    /// over.
     fn changes(
         &self,
         prefix: &str,
@@ -404,7 +405,7 @@
     }
 }
 
-/// Writes the entries of all endpoints that are listed and removes the others.
+/// Registers all endpoints of the resources and removes all other registrations.
 fn announce(state: &mut State, resources: &[Resource]) {
     let mut entries = BTreeMap::new();
     for it in resources {
@@ -434,8 +435,8 @@
     })
 }
 
-/// The configuration in the form in which operators publish it there. What has no place in it, as
-/// methods and floors, is left out.
+/// Converts resources to the platform's configuration format. Fields that the format lacks, such as methods and
+/// floors, are omitted.
 fn config(version: u64, resources: &[Resource]) -> Value {
     let mut routes = Vec::new();
     let mut services = Vec::new();
