--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server for the stand-ins.
+//! A minimal HTTP/1.1 server for the stand-ins.
 
 use std::convert::Infallible;
 use std::io::ErrorKind;
@@ -16,21 +16,21 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::JoinSet;
 
-/// Body of an answer; an error closes the connection.
+/// Body of an answer. An error closes the connection.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// An error makes the server close the connection without an answer.
+/// Result of a request handler. An error makes the server close the connection without an answer.
 pub type Answer = Result<Response<Body>, std::io::Error>;
 
-/// Serves `f` on a listener for ever. Dropping the future closes the listener and every connection.
+/// Handles requests on a listener with `f` forever. Dropping the future closes the listener and all connections.
 pub async fn serve<F, Fut>(listener: TcpListener, f: F)
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = Answer> + Send + 'static,
 {
     let mut connections = JoinSet::new();
-    // Declared last, so that it closes first, as in a process that ends: whoever sees its connection break finds the
-    // port closed.
+    // Rebound after `connections`, so that the listener is dropped first, as when a process exits: a peer whose
+    // connection breaks must find the port closed.
     let listener = listener;
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -46,12 +46,13 @@
     }
 }
 
-/// Tries to bind an address, and the pause between them.
+/// Number of attempts to bind an address.
 const BIND_TRIES: u32 = 100;
+/// Pause between attempts to bind an address.
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
-/// Binds an address that was found free. A process that is being started elsewhere in this one inherits,
-/// until it runs its own program, whatever socket the search for free addresses has open.
+/// Binds an address that was found free, with retries. A child process that another thread spawns inherits the
+/// sockets that the search for free addresses has open, and holds them until it executes its own program.
 pub async fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     for _ in 0..BIND_TRIES {
         match TcpListener::bind(addr).await {
@@ -64,7 +65,7 @@
     TcpListener::bind(addr).await
 }
 
-/// Keeps an address without listening on it: connections are refused, and nobody else gets the address.
+/// Reserves an address without listening on it: connections are refused, and no other socket can bind the address.
 pub fn hold(addr: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -72,24 +73,24 @@
     Ok(socket)
 }
 
-/// An answer with a body that is known whole.
+/// Creates an answer with a body of known length.
 pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut res = Response::new(full(body));
     *res.status_mut() = status;
     res
 }
 
-/// A JSON answer.
+/// Creates a JSON answer.
 pub fn json(value: &impl serde::Serialize) -> Response<Body> {
     answer(StatusCode::OK, serde_json::to_vec(value).expect("plain data"))
 }
 
-/// A body that is known whole.
+/// Creates a body of known length.
 pub fn full(body: impl Into<Bytes>) -> Body {
     Full::new(body.into()).map_err(|never: Infallible| match never {}).boxed()
 }
 
-/// A parameter of the query string.
+/// Returns a parsed parameter of the query string.
 pub fn query<T: std::str::FromStr>(req: &Request<Incoming>, name: &str) -> Option<T> {
     let query = req.uri().query()?;
     let pairs = query.split('&').filter_map(|it| it.split_once('='));
