--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-in for an upstream endpoint: few slots, a service time, and the ways to fail gray.
+//! Stand-in for an upstream endpoint with limited slots, a random service time and injectable gray failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,68 +18,68 @@
 
 use crate::server::{self, Answer, Body, answer, json};
 
-/// A request with this parameter in its query ends the process of every endpoint that begins to run it.
+/// Query parameter that makes every endpoint that starts to run the request crash.
 pub const CRASHING: &str = "crashing";
-/// Time until an endpoint that crashed is back.
+/// Time after which a crashed endpoint accepts connections again.
 const BACK_AFTER: Duration = Duration::from_secs(1);
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted after a crash.
 const BACKLOG: u32 = 1024;
-/// Bytes in one piece of a download.
+/// Size of one chunk of a download in bytes.
 const PIECE: usize = 16 * 1024;
 
-/// What an endpoint does wrong.
+/// Fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Work never ends; probes are answered.
+    /// Requests never complete, but probes are answered.
     Stall,
-    /// Work takes this many times as long; the load report stays low.
+    /// Requests take longer by the given factor, while the reported load is zero.
     Slow,
-    /// The answer comes two seconds late.
+    /// Answers are delayed by two seconds.
     Late,
-    /// The answer says 500.
+    /// Answers have status 500.
     Error,
-    /// The body stops in the middle and the connection stays open.
+    /// Bodies stop in the middle and the connection stays open.
     StallBody,
-    /// The body stops in the middle and the connection closes.
+    /// Bodies stop in the middle and the connection closes.
     CutBody,
-    /// The work runs, but the connection closes instead of an answer.
+    /// Requests run, but the connection closes without an answer.
     LoseAnswer,
-    /// The connection closes before the work runs.
+    /// The connection closes before the request runs.
     LoseRequest,
-    /// The answer is one for another request.
+    /// Answers carry the id of another request.
     Swap,
-    /// Every request is refused as if the endpoint were full.
+    /// Requests are rejected as not run, as if all slots were in use.
     Shed,
 }
 
-/// How an endpoint works.
+/// Capacity and service time of an endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Profile {
-    /// Requests worked on at once.
+    /// Number of requests that run concurrently.
     pub slots: usize,
-    /// Mean service time in microseconds, exponentially distributed.
+    /// Mean of the exponentially distributed service time, in microseconds.
     pub service_us: u64,
     /// Whether one request in a hundred takes twenty times as long.
     pub heavy_tail: bool,
-    /// For this long after its start each request takes three times as long.
+    /// Time after the start during which requests take three times as long, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
-    /// Pause between two pieces of a download in microseconds.
+    /// Pause between chunks of a download, in microseconds.
     pub piece_us: u64,
 }
 
-/// What an endpoint says of itself in its answers.
+/// Information that an endpoint advertises in its answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Says {
-    /// Requests a second that it takes from all nodes together.
+    /// Requests per second that the endpoint accepts from all nodes together.
     pub rate_limit: Option<f64>,
-    /// It leaves.
+    /// Whether the endpoint is leaving.
     pub leaving: bool,
-    /// Seconds of rest that it asks for when it sheds.
+    /// Back-off in seconds that the endpoint asks for when it rejects a request.
     pub rest: Option<f64>,
 }
 
@@ -100,44 +100,46 @@
     }
 }
 
-/// What an endpoint has done.
+/// Counts of the requests at an endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that were run.
+    /// Requests that ran.
     pub run: u64,
-    /// Requests that were refused as not run.
+    /// Requests that were rejected as not run.
     pub shed: u64,
-    /// Requests that arrived since the fault was switched.
+    /// Requests that arrived since the fault was last set.
     pub since_fault: u64,
-    /// Milliseconds from the switch of the fault to the latest request that arrived.
+    /// Time from setting the fault to the latest arrival, in milliseconds.
     pub last_arrival_ms: u64,
-    /// Times at which requests arrived since the fault was switched, in milliseconds, the latest
-    /// of them at the end.
+    /// Arrival times of requests while the fault is active, in milliseconds since it was set, in ascending order.
     pub arrivals_ms: Vec<u64>,
 }
 
 #[derive(Debug)]
 struct State {
     fault: Fault,
+    /// Share of the requests that the fault affects.
     share: f64,
+    /// Factor by which `Fault::Slow` lengthens requests.
     factor: f64,
+    /// When the fault was last set.
     switched: std::time::Instant,
     counts: Counts,
-    /// How often each request that must not be repeated was run, by its identity.
+    /// Number of runs of each request other than GET, by request id.
     runs: FxHashMap<String, u32>,
-    /// When it crashed.
+    /// Times of the crashes.
     crashes: Vec<std::time::Instant>,
     says: Says,
-    /// When requests arrived.
+    /// Arrival times of all requests.
     arrivals: Vec<std::time::Instant>,
 }
 
-/// Answers say here which organisation the endpoint was told of.
+/// Answer header that repeats the organisation of the received request.
 pub const TOLD_ORGANISATION: &str = "x-standin-organisation";
-/// Answers say here which key the endpoint was shown.
+/// Answer header that repeats the API key of the received request.
 pub const TOLD_KEY: &str = "x-standin-key";
 
-/// One endpoint.
+/// A stand-in endpoint. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     name: Arc<str>,
@@ -149,7 +151,7 @@
 }
 
 impl Upstream {
-    /// An endpoint that works well.
+    /// Creates an endpoint without a fault.
     pub fn new(name: &str, profile: Profile) -> Self {
         let state = State {
             fault: Fault::None,
@@ -172,13 +174,13 @@
         }
     }
 
-    /// Its name, which is its identity and its address.
+    /// Returns the name, which is both the endpoint's id and its address.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Serves on a listener for ever. A crash closes it with all connections; the endpoint is back on the same
-    /// address a while later.
+    /// Serves on a listener forever. A crash closes the listener and all connections; the endpoint listens on the
+    /// same address again after `BACK_AFTER`.
     pub async fn serve(self, mut listener: TcpListener) {
         loop {
             let addr = listener.local_addr().expect("it is bound");
@@ -193,29 +195,29 @@
         }
     }
 
-    /// When it crashed.
+    /// Returns the times of the crashes.
     pub fn crashes(&self) -> Vec<std::time::Instant> {
         self.state.lock().crashes.clone()
     }
 
-    /// Says something of itself in all answers from now on.
+    /// Sets the information that the endpoint advertises in all answers from now on.
     pub fn say(&self, says: Says) {
         self.state.lock().says = says;
     }
 
-    /// When requests arrived.
+    /// Returns the arrival times of all requests.
     pub fn arrivals(&self) -> Vec<std::time::Instant> {
         self.state.lock().arrivals.clone()
     }
 
-    /// Ends this life of the endpoint; the request that did it is never answered.
+    /// Crashes the endpoint. The request that caused the crash is never answered.
     async fn crash(&self) -> Answer {
         self.state.lock().crashes.push(std::time::Instant::now());
         self.crash.notify_one();
         std::future::pending().await
     }
 
-    /// Switches a fault on a share of the requests.
+    /// Sets the fault for a share of the requests. `factor` applies to `Fault::Slow` only.
     pub fn set_fault(&self, fault: Fault, share: f64, factor: f64) {
         let mut state = self.state.lock();
         state.fault = fault;
@@ -227,12 +229,12 @@
         state.counts.arrivals_ms.clear();
     }
 
-    /// What it has done.
+    /// Returns the counts of requests.
     pub fn counts(&self) -> Counts {
         self.state.lock().counts.clone()
     }
 
-    /// Runs of each request that carries an identity and is not a GET.
+    /// Returns the number of runs of each request other than GET, by request id.
     pub fn runs(&self) -> FxHashMap<String, u32> {
         self.state.lock().runs.clone()
     }
@@ -253,7 +255,8 @@
         }
     }
 
-    /// Share of the slots in use, as the endpoint reports it: a slow one says that it is idle.
+    /// Returns the share of the slots in use as the endpoint reports it. With `Fault::Slow` the endpoint reports
+    /// zero.
     fn reported_load(&self) -> f64 {
         let used = self.profile.slots - self.slots.available_permits();
         let lies = self.state.lock().fault == Fault::Slow;
@@ -285,7 +288,7 @@
         }
         let slot = self.slots.clone().try_acquire_owned().ok().filter(|_| fault != Fault::Shed);
         let Some(slot) = slot else {
-            // An answer before the end of the request closes the connection and may get lost.
+            // An answer before the end of the request would close the connection and could get lost.
             req.into_body().collect().await.map_err(std::io::Error::other)?;
             return Ok(self.shed());
         };
@@ -319,7 +322,7 @@
         Ok(res)
     }
 
-    /// Counts an arrival and says which fault, if any, meets it.
+    /// Counts an arrival and returns the fault that affects the request.
     fn arrive(&self) -> Fault {
         let mut state = self.state.lock();
         let at = state.switched.elapsed().as_millis() as u64;
@@ -396,7 +399,7 @@
     }
 }
 
-/// The bytes of every download: the same on every endpoint.
+/// Returns a range of the bytes of a download, which are the same on every endpoint.
 pub fn download_bytes(start: usize, end: usize) -> Bytes {
     (start..end).map(|i| (i % 251) as u8).collect::<Vec<u8>>().into()
 }
@@ -431,7 +434,7 @@
     }
 }
 
-/// A body that stops after its first part.
+/// Creates a body that stops after its first part.
 fn broken(first: Bytes, fault: Fault) -> Body {
     let (tx, rx) = mpsc::channel(2);
     tokio::spawn(async move {
