--- a/crates/standin/tests/bind.rs
+++ b/crates/standin/tests/bind.rs
@@ -1,11 +1,11 @@
-//! The stand-ins' addresses on a busy machine.
+//! Binding of addresses that another process occupies for a moment.
 
 use std::time::Duration;
 
 use standin::{lab, server};
 
-/// A process that another test starts inherits, until it runs its own program, the socket with which
-/// this test has just found out that an address is free.
+/// Guards against spurious bind failures: a process that another test spawns inherits the sockets of the search for
+/// free addresses and holds them until it executes its own program.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_address_that_is_taken_for_a_moment_is_bound_all_the_same() {
     let addr = lab::free_addrs(1).unwrap()[0];
