--- a/crates/dappleway/tests/keys.rs
+++ b/crates/dappleway/tests/keys.rs
@@ -136,7 +136,7 @@
 async fn wait_for_log(bed: &Bed, text: &str) {
     let limit = Instant::now() + Duration::from_secs(60);
     while Instant::now() < limit {
-        let has_it = |it: &standin::lab::Node| {
+        let has_it = |it: &standin::node::Node| {
             std::fs::read_to_string(&it.log).is_ok_and(|log| log.contains(text))
         };
         if bed.nodes.iter().any(has_it) {
--- a/crates/dappleway/tests/operating.rs
+++ b/crates/dappleway/tests/operating.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use standin::bed::{Bed, Layout};
-use standin::lab::Node;
+use standin::node::Node;
 use standin::upstream::Fault;
 use standin::{caller, client};
 
--- a/crates/dappleway/tests/promises.rs
+++ b/crates/dappleway/tests/promises.rs
@@ -11,7 +11,7 @@
 use standin::bed::{Bed, Layout};
 use standin::caller::{self, Plan, Summary};
 use standin::client;
-use standin::lab::{Node, Options};
+use standin::node::{Node, Options};
 use standin::platform;
 use standin::upstream::{Fault, Profile, download_bytes};
 use tokio::sync::{Semaphore, SemaphorePermit};
@@ -313,7 +313,7 @@
     let bed = bed(&Layout { nodes: 2, ..Layout::small() }).await;
     let dir = tempfile::tempdir().unwrap();
     std::fs::write(dir.path().join("fleet.key"), "another secret altogether").unwrap();
-    let stranger = standin::lab::node_addrs(1, &["a"]).unwrap().remove(0);
+    let stranger = standin::node::node_addrs(1, &["a"]).unwrap().remove(0);
     let mut options = Options::new(Path::new(env!("CARGO_BIN_EXE_dappleway")), bed.platform_addr());
     options.seeds = bed.nodes.iter().map(|it| it.addrs.fleet).collect();
     let node = Node::start(dir.path(), &stranger, &options).unwrap();
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -10,7 +10,7 @@
 use rand::seq::IteratorRandom;
 use resources::{Endpoint, Resource, Standing};
 use serde_json::json;
-use standin::lab::{self, Node, NodeAddrs, Options as NodeOptions};
+use standin::node::{self, Node, NodeAddrs, Options as NodeOptions};
 use standin::platform::Platform;
 use standin::server;
 use standin::upstream::{Profile, Upstream};
@@ -57,7 +57,7 @@
     /// Starts `count` nodes of the program at `bin` and waits until all are ready.
     pub(crate) async fn start(bin: &Path, count: usize) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
-        let free = lab::free_addrs(1 + SERVICES as usize * ENDPOINTS_PER_SERVICE + 4 * count)?;
+        let free = node::free_addrs(1 + SERVICES as usize * ENDPOINTS_PER_SERVICE + 4 * count)?;
         let (store, free) = free.split_first().expect("more than one is asked for");
         let (endpoint_addrs, free) = free.split_at(SERVICES as usize * ENDPOINTS_PER_SERVICE);
         let (link_addrs, node_addrs) = free.split_at(count);
@@ -72,7 +72,7 @@
             upstreams.push(upstream);
             endpoints.push(endpoint(*addr, FAILURE_DOMAINS[i % FAILURE_DOMAINS.len()]));
         }
-        let addrs = lab::nodes_at(node_addrs, &FAILURE_DOMAINS);
+        let addrs = node::nodes_at(node_addrs, &FAILURE_DOMAINS);
         let mut links = Vec::new();
         for addr in link_addrs {
             links.push(Link::start(*addr, *store, platform.clone()).await?);
@@ -291,7 +291,7 @@
         for node in &self.nodes {
             let mut node = node.lock().await;
             let has_ended = node.pid().is_some() && node.exit_code()?.is_some();
-            let memory_mb = node.pid().and_then(standin::lab::memory_mb);
+            let memory_mb = node.pid().and_then(standin::node::memory_mb);
             let log_bytes = std::fs::metadata(&node.log)?.len();
             all.push(Process { has_ended, memory_mb, log_bytes });
         }
--- a/crates/standin/src/bed.rs
+++ b/crates/standin/src/bed.rs
@@ -7,7 +7,7 @@
 use resources::{Endpoint, Resource, Standing};
 
 use crate::caller::Plan;
-use crate::lab::{self, Node, Options};
+use crate::node::{self, Node, Options};
 use crate::platform::Platform;
 use crate::server;
 use crate::upstream::{Profile, Upstream};
@@ -110,7 +110,7 @@
     /// Starts a test bed with the node program at `bin` and waits until all nodes are ready.
     pub async fn start(bin: &Path, layout: &Layout) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
-        let free = lab::free_addrs(1 + layout.endpoints + 3 * layout.nodes)?;
+        let free = node::free_addrs(1 + layout.endpoints + 3 * layout.nodes)?;
         let (own, of_nodes) = free.split_at(1 + layout.endpoints);
         let platform = Platform::default();
         tokio::spawn(platform.clone().serve(server::bind(own[0]).await?));
@@ -133,7 +133,7 @@
         }
         let resources = layout.resources(&endpoints)?;
         platform.publish(&resources);
-        let addrs = lab::nodes_at(of_nodes, &layout.failure_domains);
+        let addrs = node::nodes_at(of_nodes, &layout.failure_domains);
         let mut options = Options::new(bin, own[0]);
         options.mode = layout.mode.into();
         options.floor = layout.floor.into();
@@ -217,7 +217,7 @@
 
     /// Returns the resident memory of the first node in MB.
     pub fn memory_mb(&self) -> Option<f64> {
-        lab::memory_mb(self.nodes.first()?.pid()?)
+        node::memory_mb(self.nodes.first()?.pid()?)
     }
 }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -6,8 +6,8 @@
 pub mod bed;
 pub mod caller;
 pub mod client;
-pub mod lab;
 pub mod net;
+pub mod node;
 pub mod platform;
 pub mod server;
 pub mod upstream;
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -11,7 +11,7 @@
 use resources::{Endpoint, Resource};
 use standin::caller::{self, Plan, Summary};
 use standin::client;
-use standin::lab::{self, Node, Options};
+use standin::node::{self, Node, Options};
 use xshell::{Shell, cmd};
 
 use crate::ci::root;
@@ -61,9 +61,9 @@
     let mut resources = example()?;
     let endpoints = endpoints(&mut resources).count();
     // One list, so that no two programs get the same port.
-    let mut free = lab::free_addrs(1 + 3 * NODES + endpoints)?;
+    let mut free = node::free_addrs(1 + 3 * NODES + endpoints)?;
     let platform = free.pop().context("one address for the platform")?;
-    let addrs = lab::nodes_at(&free.split_off(endpoints), &DOMAINS);
+    let addrs = node::nodes_at(&free.split_off(endpoints), &DOMAINS);
     let mut running = Vec::new();
     start_upstreams(bin, &mut resources, &free, &mut running)?;
     start_platform(bin, dir.path(), platform, &resources, &mut running)?;
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -5,7 +5,7 @@
 
 use resources::Resource;
 use standin::client;
-use standin::lab::Node;
+use standin::node::Node;
 use standin::platform::Keyed;
 use tokio::time::{Instant, sleep};
 
