--- a/crates/dappleway/tests/keys.rs
+++ b/crates/dappleway/tests/keys.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use standin::bed::{Bed, Layout};
-use standin::client::{self, Got};
+use standin::client::{self, ReceivedAnswer};
 use standin::platform::Keyed;
 use standin::upstream::{TOLD_KEY, TOLD_ORGANISATION};
 use tokio::time::{Instant, sleep};
@@ -34,7 +34,7 @@
 
 /// Sends a lookup to a node with these headers. A node that has no proof yet that its configuration is the
 /// newest tells whoever it can't place to come back, so that one is sent again until the node knows.
-async fn lookup(bed: &Bed, node: usize, headers: &[(&str, &str)]) -> Got {
+async fn lookup(bed: &Bed, node: usize, headers: &[(&str, &str)]) -> ReceivedAnswer {
     let limit = Instant::now() + Duration::from_secs(60);
     loop {
         let got =
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -10,7 +10,7 @@
 
 /// A completely received answer.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct ReceivedAnswer {
     /// Status of the answer.
     pub status: StatusCode,
     /// Headers of the answer.
@@ -19,7 +19,7 @@
     pub body: Bytes,
 }
 
-impl Got {
+impl ReceivedAnswer {
     /// Returns a header as text, or an empty string if it is absent or not text.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|it| it.to_str().ok()).unwrap_or_default()
@@ -32,7 +32,7 @@
 }
 
 /// Sends a request over a new connection and waits for the complete answer.
-pub async fn send(addr: SocketAddr, req: Request<Full<Bytes>>) -> anyhow::Result<Got> {
+pub async fn send(addr: SocketAddr, req: Request<Full<Bytes>>) -> anyhow::Result<ReceivedAnswer> {
     let stream = TcpStream::connect(addr).await?;
     let (mut tx, conn) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let conn = tokio::spawn(conn);
@@ -40,7 +40,7 @@
     let (parts, body) = res.into_parts();
     let body = body.collect().await?.to_bytes();
     conn.abort();
-    Ok(Got { status: parts.status, headers: parts.headers, body })
+    Ok(ReceivedAnswer { status: parts.status, headers: parts.headers, body })
 }
 
 /// Starts building a request to the host name that routes of the stand-in platform match by default.
@@ -54,7 +54,7 @@
     method: &str,
     path: &str,
     body: impl Into<Bytes>,
-) -> anyhow::Result<Got> {
+) -> anyhow::Result<ReceivedAnswer> {
     send(addr, request(method, path).body(Full::new(body.into()))?).await
 }
 
@@ -63,7 +63,7 @@
     addr: SocketAddr,
     path: &str,
     headers: &[(&str, &str)],
-) -> anyhow::Result<Got> {
+) -> anyhow::Result<ReceivedAnswer> {
     let mut req = request("GET", path);
     for (name, value) in headers {
         req = req.header(*name, HeaderValue::from_bytes(value.as_bytes())?);
@@ -72,6 +72,6 @@
 }
 
 /// Sends a GET request.
-pub async fn get(addr: SocketAddr, path: &str) -> anyhow::Result<Got> {
+pub async fn get(addr: SocketAddr, path: &str) -> anyhow::Result<ReceivedAnswer> {
     call(addr, "GET", path, "").await
 }
