--- a/crates/dappleway/tests/crashing.rs
+++ b/crates/dappleway/tests/crashing.rs
@@ -21,7 +21,7 @@
 
 use standin::bed::{Bed, Layout};
 use standin::caller::{self, Plan};
-use standin::upstream::CRASHING;
+use standin::upstream::CRASH_PARAMETER;
 
 /// Nodes that hear each other know of a crash within this time.
 const CONTACT: Duration = Duration::from_secs(3);
@@ -42,7 +42,8 @@
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
     let bed = Bed::start(bin, &Layout::small()).await.unwrap();
     let harmless = Plan { path: "/slots/harmless".into(), ..bed.lookups(50.0, 9.0) };
-    let crashing = Plan { path: format!("/slots/today?{CRASHING}=1"), ..bed.lookups(20.0, 9.0) };
+    let crashing =
+        Plan { path: format!("/slots/today?{CRASH_PARAMETER}=1"), ..bed.lookups(20.0, 9.0) };
     let (_, seen) = tokio::join!(caller::run(harmless.clone()), caller::run(crashing));
     assert_eq!(seen.answered, 0, "{seen:?}");
     let all = crashes(&bed);
@@ -58,7 +59,7 @@
 async fn nodes_that_start_anew_one_after_the_other_do_not_send_it_on() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
     let mut bed = Bed::start(bin, &Layout::small()).await.unwrap();
-    let path = format!("/slots/today?{CRASHING}=1");
+    let path = format!("/slots/today?{CRASH_PARAMETER}=1");
     let crashing = Plan { path, ..bed.lookups(20.0, 3.0) };
     caller::run(crashing.clone()).await;
     let before = crashes(&bed).len();
--- a/crates/dappleway/tests/keys.rs
+++ b/crates/dappleway/tests/keys.rs
@@ -8,7 +8,7 @@
 use standin::bed::{Bed, Layout};
 use standin::client::{self, ReceivedAnswer};
 use standin::platform::Keyed;
-use standin::upstream::{TOLD_KEY, TOLD_ORGANISATION};
+use standin::upstream::{ECHOED_KEY, ECHOED_ORGANISATION};
 use tokio::time::{Instant, sleep};
 
 const BIN: &str = env!("CARGO_BIN_EXE_dappleway");
@@ -56,7 +56,7 @@
     for (key, name) in [(ALICE, "alice"), (ALICE_TOO, "alice"), (BOB, "bob")] {
         let forged = [("x-api-key", key), ("x-tenant", "mallory"), ("connection", "x-tenant")];
         let got = lookup(&bed, 0, &forged).await;
-        let told = (got.header(TOLD_ORGANISATION), got.header(TOLD_KEY));
+        let told = (got.header(ECHOED_ORGANISATION), got.header(ECHOED_KEY));
         assert_eq!((got.status.as_u16(), told), (200, (name, "")), "{key}");
     }
 }
--- a/crates/dappleway/tests/notices.rs
+++ b/crates/dappleway/tests/notices.rs
@@ -5,7 +5,7 @@
 
 use standin::bed::{Bed, Layout};
 use standin::caller;
-use standin::upstream::{Fault, Says};
+use standin::upstream::{Advertised, Fault};
 
 /// An endpoint that leaves gets nothing new after this time.
 const LEAVING: Duration = Duration::from_secs(2);
@@ -24,7 +24,7 @@
     let bed = Bed::start(bin, &Layout::small()).await.unwrap();
     caller::run(bed.lookups(100.0, 1.0)).await;
     let leaving = &bed.upstreams[0];
-    leaving.say(Says { leaving: true, ..Says::default() });
+    leaving.advertise(Advertised { leaving: true, ..Advertised::default() });
     let told_by = Instant::now() + LEAVING;
     let seen = caller::run(bed.lookups(100.0, 6.0)).await;
     let late = count(&leaving.arrivals(), told_by, Instant::now());
@@ -38,7 +38,7 @@
     let bed = Bed::start(bin, &Layout { nodes: 1, ..Layout::small() }).await.unwrap();
     caller::run(bed.lookups(100.0, 1.0)).await;
     let resting = &bed.upstreams[0];
-    resting.say(Says { rest: Some(REST.as_secs_f64()), ..Says::default() });
+    resting.advertise(Advertised { back_off: Some(REST.as_secs_f64()), ..Advertised::default() });
     resting.set_fault(Fault::Shed, 1.0, 1.0);
     let before = resting.arrivals().len();
     let seen = caller::run(bed.lookups(100.0, 8.0)).await;
--- a/crates/dappleway/tests/rate_limits.rs
+++ b/crates/dappleway/tests/rate_limits.rs
@@ -5,7 +5,7 @@
 
 use standin::bed::{Bed, Layout};
 use standin::caller;
-use standin::upstream::Says;
+use standin::upstream::Advertised;
 
 const PER_S: f64 = 1.5;
 const WINDOW: Duration = Duration::from_secs(4);
@@ -25,7 +25,9 @@
     let bed = Bed::start(bin, &Layout::small()).await.unwrap();
     caller::run(bed.lookups(100.0, 1.0)).await;
     let limited = &bed.upstreams[..2];
-    limited.iter().for_each(|it| it.say(Says { rate_limit: Some(PER_S), ..Says::default() }));
+    limited.iter().for_each(|it| {
+        it.advertise(Advertised { rate_limit: Some(PER_S), ..Advertised::default() })
+    });
     let from = Instant::now() + CONTACT;
     let seen = caller::run(bed.lookups(100.0, 9.0)).await;
     let allowed = PER_S * 1.5 * WINDOW.as_secs_f64() + 5.0;
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -19,7 +19,7 @@
 use crate::server::{self, Answer, Body, answer, json};
 
 /// Query parameter that makes every endpoint that starts to run the request crash.
-pub const CRASHING: &str = "crashing";
+pub const CRASH_PARAMETER: &str = "crashing";
 /// Time after which a crashed endpoint accepts connections again.
 const BACK_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of connections that wait to be accepted after a crash.
@@ -74,24 +74,24 @@
 
 /// Information that an endpoint advertises in its answers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Says {
+pub struct Advertised {
     /// Requests per second that the endpoint accepts from all nodes together.
     pub rate_limit: Option<f64>,
     /// Whether the endpoint is leaving.
     pub leaving: bool,
     /// Back-off in seconds that the endpoint asks for when it rejects a request.
-    pub rest: Option<f64>,
+    pub back_off: Option<f64>,
 }
 
-impl Says {
+impl Advertised {
     fn add_to(self, res: &mut Response<Body>) {
         let is_shed = res.status() == StatusCode::SERVICE_UNAVAILABLE;
-        let said = [
+        let headers = [
             ("server-limit", self.rate_limit),
             ("server-leaving", self.leaving.then_some(1.0)),
-            ("retry-after", self.rest.filter(|_| is_shed)),
+            ("retry-after", self.back_off.filter(|_| is_shed)),
         ];
-        for (name, value) in said {
+        for (name, value) in headers {
             if let Some(value) = value {
                 let value = value.to_string().parse().expect("digits and a point");
                 res.headers_mut().insert(name, value);
@@ -129,15 +129,15 @@
     runs: FxHashMap<String, u32>,
     /// Times of the crashes.
     crashes: Vec<std::time::Instant>,
-    says: Says,
+    advertised: Advertised,
     /// Arrival times of all requests.
     arrivals: Vec<std::time::Instant>,
 }
 
 /// Answer header that repeats the organisation of the received request.
-pub const TOLD_ORGANISATION: &str = "x-standin-organisation";
+pub const ECHOED_ORGANISATION: &str = "x-standin-organisation";
 /// Answer header that repeats the API key of the received request.
-pub const TOLD_KEY: &str = "x-standin-key";
+pub const ECHOED_KEY: &str = "x-standin-key";
 
 /// A stand-in endpoint. Clones share their state.
 #[derive(Clone, Debug)]
@@ -161,7 +161,7 @@
             counts: Counts::default(),
             runs: FxHashMap::default(),
             crashes: Vec::new(),
-            says: Says::default(),
+            advertised: Advertised::default(),
             arrivals: Vec::new(),
         };
         Self {
@@ -201,8 +201,8 @@
     }
 
     /// Sets the information that the endpoint advertises in all answers from now on.
-    pub fn say(&self, says: Says) {
-        self.state.lock().says = says;
+    pub fn advertise(&self, advertised: Advertised) {
+        self.state.lock().advertised = advertised;
     }
 
     /// Returns the arrival times of all requests.
@@ -248,8 +248,8 @@
             (_, "/_standin/runs") => Ok(json(&self.runs())),
             _ => {
                 let mut res = self.clone().work(req).await?;
-                let says = self.state.lock().says;
-                says.add_to(&mut res);
+                let advertised = self.state.lock().advertised;
+                advertised.add_to(&mut res);
                 Ok(res)
             }
         }
@@ -278,7 +278,7 @@
         let fault = self.arrive();
         let id = header(&req, "x-request-id");
         let wanted = header(&req, "x-target-instance");
-        let told = [header(&req, "x-tenant"), header(&req, "x-api-key")];
+        let received = [header(&req, "x-tenant"), header(&req, "x-api-key")];
         if !wanted.is_empty() && *wanted != *self.name {
             return Ok(answer(StatusCode::MISDIRECTED_REQUEST, "another endpoint is here\n"));
         }
@@ -295,7 +295,7 @@
         if fault == Fault::Stall {
             std::future::pending::<()>().await;
         }
-        if server::query::<u8>(&req, CRASHING).is_some() {
+        if server::query::<u8>(&req, CRASH_PARAMETER).is_some() {
             return self.crash().await;
         }
         let download = server::query::<usize>(&req, "bytes");
@@ -316,7 +316,7 @@
         drop(slot);
         let answered = if fault == Fault::Swap { "another-request".to_owned() } else { id };
         res.headers_mut().insert("x-request-id", answered.parse().expect("came as a header"));
-        for (name, value) in [TOLD_ORGANISATION, TOLD_KEY].into_iter().zip(told) {
+        for (name, value) in [ECHOED_ORGANISATION, ECHOED_KEY].into_iter().zip(received) {
             res.headers_mut().insert(name, value.parse().expect("came as a header"));
         }
         Ok(res)
