--- a/crates/dappleway/tests/keys.rs
+++ b/crates/dappleway/tests/keys.rs
@@ -7,7 +7,7 @@
 
 use standin::bed::{Bed, Layout};
 use standin::client::{self, ReceivedAnswer};
-use standin::platform::Keyed;
+use standin::platform::KeyedOrganisation;
 use standin::upstream::{ECHOED_KEY, ECHOED_ORGANISATION};
 use tokio::time::{Instant, sleep};
 
@@ -16,18 +16,18 @@
 const ALICE_TOO: &str = "alice-fedcba9876543210";
 const BOB: &str = "bob-0123456789abcdef0";
 
-fn unlimited(name: &str, keys: &[&str]) -> Keyed {
+fn unlimited(name: &str, keys: &[&str]) -> KeyedOrganisation {
     let keys = keys.iter().map(ToString::to_string).collect();
-    Keyed { name: name.to_owned(), keys, rate_per_s: 0.0, burst: 0.0 }
+    KeyedOrganisation { name: name.to_owned(), keys, rate_per_s: 0.0, burst: 0.0 }
 }
 
-async fn bed(organisations: &[Keyed]) -> Bed {
+async fn bed(organisations: &[KeyedOrganisation]) -> Bed {
     let bed = Bed::start(Path::new(BIN), &Layout::small()).await.unwrap();
     publish(&bed, organisations).await;
     bed
 }
 
-async fn publish(bed: &Bed, organisations: &[Keyed]) {
+async fn publish(bed: &Bed, organisations: &[KeyedOrganisation]) {
     let version = bed.platform.publish_keyed(&bed.resources, organisations);
     bed.wait_in_force(version).await.unwrap();
 }
@@ -150,7 +150,7 @@
 /// What an organisation asks beyond its allowance gets 429, whichever nodes it comes to; its neighbours lose nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_allowance_holds_over_all_nodes_and_costs_neighbours_nothing() {
-    let limited = |it: Keyed| Keyed { rate_per_s: 20.0, burst: 10.0, ..it };
+    let limited = |it: KeyedOrganisation| KeyedOrganisation { rate_per_s: 20.0, burst: 10.0, ..it };
     let alice = limited(unlimited("alice", &[ALICE]));
     let bob = limited(unlimited("bob", &[BOB]));
     let bed = bed(&[alice, bob]).await;
--- a/crates/dappleway/tests/older_copy.rs
+++ b/crates/dappleway/tests/older_copy.rs
@@ -114,8 +114,8 @@
         register(&world.platform, id);
     }
     world.follow().await;
-    world.platform.come_back(copy);
-    world.platform.leave("i-1");
+    world.platform.restore(copy);
+    world.platform.mark_draining("i-1");
     world.follow().await;
     assert_eq!(world.standing("i-1"), Some(Standing::Leaving));
 }
@@ -127,7 +127,7 @@
     register(&world.platform, "i-7");
     register(&world.platform, "i-8");
     world.follow().await;
-    world.platform.come_back(copy);
+    world.platform.restore(copy);
     world.follow().await;
     assert_eq!(world.standing("i-7"), Some(Standing::Missing));
     register(&world.platform, "i-8");
@@ -143,13 +143,13 @@
         let mut world = World::new().await;
         let copy = world.platform.revision();
         if is_told {
-            world.platform.leave("i-1");
+            world.platform.mark_draining("i-1");
         }
         world.platform.remove("i-1");
         world.follow().await;
         world.pass(GONE);
         assert_eq!(world.standing("i-1"), None);
-        world.platform.come_back(copy);
+        world.platform.restore(copy);
         world.follow().await;
         assert_eq!(world.standing("i-1"), None, "told: {is_told}");
         // Its entry lapses there too.
@@ -172,7 +172,7 @@
     world.platform.remove("i-1");
     world.follow().await;
     world.pass(GONE);
-    world.platform.come_back(copy);
+    world.platform.restore(copy);
     world.follow().await;
     world.pass(GONE * 10);
     assert_eq!(world.standing("i-1"), Some(Standing::Present));
@@ -182,9 +182,9 @@
 async fn a_drain_that_the_older_copy_lacks_stays_a_drain() {
     let mut world = World::new().await;
     let copy = world.platform.revision();
-    world.platform.leave("i-1");
+    world.platform.mark_draining("i-1");
     world.follow().await;
-    world.platform.come_back(copy);
+    world.platform.restore(copy);
     world.follow().await;
     assert_eq!(world.standing("i-1"), Some(Standing::Leaving));
 }
@@ -196,8 +196,8 @@
     let copy = world.platform.revision();
     register(&world.platform, "i-7");
     world.follow().await;
-    world.platform.come_back(copy);
-    world.platform.leave("i-2");
+    world.platform.restore(copy);
+    world.platform.mark_draining("i-2");
     register(&world.platform, "i-8");
     register(&world.platform, "i-9");
     world.follow().await;
@@ -214,7 +214,7 @@
     world.platform.publish(&documents());
     world.follow().await;
     assert_eq!(world.replica.facts().version, 2);
-    world.platform.come_back(copy);
+    world.platform.restore(copy);
     world.follow().await;
     assert_eq!(world.replica.facts().version, 2, "the copy has version 1");
     world.platform.publish(&documents());
@@ -230,9 +230,9 @@
     let later = world.platform.revision();
     register(&world.platform, "i-8");
     world.follow().await;
-    world.platform.come_back(later);
-    world.platform.come_back(copy);
-    world.platform.leave("i-3");
+    world.platform.restore(later);
+    world.platform.restore(copy);
+    world.platform.mark_draining("i-3");
     world.follow().await;
     world.pass(GONE);
     let known = world.known().into_iter().map(|(id, _)| id).collect::<Vec<_>>();
--- a/crates/dappleway/tests/promises.rs
+++ b/crates/dappleway/tests/promises.rs
@@ -170,7 +170,7 @@
     let bed = bed(&Layout::small()).await;
     send(&bed, "GET", "/slots/1", 200.0, 0.5).await;
     let leaving = &bed.upstreams[0];
-    bed.platform.leave(leaving.name());
+    bed.platform.mark_draining(leaving.name());
     let load = send(&bed, "GET", "/slots/1", 200.0, 2.0);
     let noticed = bed.wait_reports(|report| {
         let endpoints = report["services"][0]["endpoints"].as_array().unwrap();
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -215,12 +215,12 @@
                 self.end_disturbance(&nodes);
             }
             Fault::Forget => {
-                self.platform.forget();
+                self.platform.discard_history();
                 self.history.lock().record_store_disturbance(began);
             }
             Fault::Return(revisions) => {
                 let to = self.platform.revision().saturating_sub(revisions).max(MIN_REVISION);
-                self.platform.come_back(to);
+                self.platform.restore(to);
                 self.publish();
                 self.history.lock().record_store_disturbance(began);
             }
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -136,7 +136,7 @@
 
     /// Restores the platform's registry from the copy that it had after this many changes.
     pub fn come_back(&mut self, endpoints: usize) {
-        self.platform.come_back(endpoints);
+        self.platform.restore(endpoints);
     }
 
     /// Returns the number of calls to the platform. Only nodes with links make calls.
--- a/crates/standin/src/net/platform.rs
+++ b/crates/standin/src/net/platform.rs
@@ -19,7 +19,7 @@
     /// Changes of the registry, with the revisions 1, 2, 3, ….
     pub(super) registry: Vec<RegistryChange>,
     /// Number of times that the registry was restored from an older copy.
-    returns: u32,
+    restores: u32,
     /// Number of calls.
     made: u64,
     /// Time of the last counted call of each reader. The simulation polls in every tick, but a watch that waits
@@ -69,13 +69,13 @@
 
     /// Returns the position of a registry change.
     fn at(&self, revision: usize) -> Position {
-        Position { era: self.returns + 1, revision: revision as u64 }
+        Position { era: self.restores + 1, revision: revision as u64 }
     }
 
     /// Restores the registry from the copy that it had at this revision.
-    pub(super) fn come_back(&mut self, revision: usize) {
+    pub(super) fn restore(&mut self, revision: usize) {
         self.registry.truncate(revision);
-        self.returns += 1;
+        self.restores += 1;
     }
 
     /// Returns the registry changes after a position, together with a configuration. Returns the complete registry if
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -62,29 +62,29 @@
     /// Changes that watches can still read.
     history: Vec<Event>,
     /// Changes up to this revision have been discarded from the history.
-    forgotten: u64,
+    discarded_to: u64,
     /// Values that are served instead of the written ones, by key.
-    spoiled: BTreeMap<String, Value>,
+    value_overrides: BTreeMap<String, Value>,
     fault: Fault,
     /// Number of times that the store was restored from an older copy.
-    returns: u64,
+    restores: u64,
     /// Overrides the era in answers; `Some(None)` omits the header.
-    told_era: Option<Option<String>>,
+    era_override: Option<Option<String>>,
     calls: u64,
 }
 
 impl State {
     /// Returns the era for the header of answers, if the header is sent.
     fn era(&self) -> Option<String> {
-        self.told_era.clone().unwrap_or(Some((self.returns + 1).to_string()))
+        self.era_override.clone().unwrap_or(Some((self.restores + 1).to_string()))
     }
 
     fn restore(&mut self, revision: u64) {
-        self.returns += 1;
+        self.restores += 1;
         self.revision = revision;
         self.log.retain(|it| it.revision <= revision);
         self.history.retain(|it| it.revision <= revision);
-        self.forgotten = self.forgotten.min(revision);
+        self.discarded_to = self.discarded_to.min(revision);
         self.items.clear();
         for it in &self.log {
             match it.value {
@@ -106,21 +106,21 @@
     }
 
     /// Returns an item as the store serves it under the current fault.
-    fn show(&self, it: &Event) -> Value {
-        let mut shown = item(it);
+    fn served_item(&self, it: &Event) -> Value {
+        let mut served = item(it);
         if self.fault == Fault::Stale && it.key == CONFIG_KEY {
-            shown["value"] = json!(STANDARD.encode(&self.first_config));
+            served["value"] = json!(STANDARD.encode(&self.first_config));
         }
-        if let Some(value) = self.spoiled.get(&it.key).filter(|_| it.value.is_some()) {
-            shown["value"] = value.clone();
+        if let Some(value) = self.value_overrides.get(&it.key).filter(|_| it.value.is_some()) {
+            served["value"] = value.clone();
         }
-        shown
+        served
     }
 }
 
 /// An organisation with the API keys of its callers, as operators publish it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Keyed {
+pub struct KeyedOrganisation {
     /// Name of the organisation.
     pub name: String,
     /// API keys of its callers.
@@ -151,8 +151,12 @@
     }
 
     /// Publishes resources like `publish`, together with organisations whose callers authenticate by API key.
-    pub fn publish_keyed(&self, resources: &[Resource], organisations: &[Keyed]) -> u64 {
-        let row = |it: &Keyed| json!([it.name, it.keys, it.rate_per_s, it.burst]);
+    pub fn publish_keyed(
+        &self,
+        resources: &[Resource],
+        organisations: &[KeyedOrganisation],
+    ) -> u64 {
+        let row = |it: &KeyedOrganisation| json!([it.name, it.keys, it.rate_per_s, it.burst]);
         let rows: Vec<Value> = organisations.iter().map(row).collect();
         let columns = ["name", "apiKeys", "ratePerS", "burst"];
         self.publish_config(resources, |config| {
@@ -163,14 +167,14 @@
     fn publish_config(&self, resources: &[Resource], add: impl FnOnce(&mut Value)) -> u64 {
         let mut state = self.state.lock();
         state.version += 1;
-        let mut config = config(state.version, resources);
+        let mut config = config_document(state.version, resources);
         add(&mut config);
         let config = config.to_string().into_bytes();
         if state.first_config.is_empty() {
             state.first_config.clone_from(&config);
         }
         let version = state.version;
-        announce(&mut state, resources);
+        register_endpoints(&mut state, resources);
         state.put(CONFIG_KEY, Some(config));
         drop(state);
         self.changed.notify_waiters();
@@ -190,19 +194,19 @@
     }
 
     /// Makes the store serve a JSON value that need not be base64 text as the value of an item.
-    pub fn spoil(&self, key: &str, value: Value) {
-        self.state.lock().spoiled.insert(key.to_owned(), value);
+    pub fn override_value(&self, key: &str, value: Value) {
+        self.state.lock().value_overrides.insert(key.to_owned(), value);
         self.put_raw(key, b"");
     }
 
     /// Registers an endpoint of a service.
     pub fn register(&self, service: &str, endpoint: &Endpoint) {
-        let entry = entry(service, endpoint, endpoint.slots).to_string();
+        let entry = registration(service, endpoint, endpoint.slots).to_string();
         self.put_raw(&format!("{ENDPOINTS}{}", endpoint.id), entry.as_bytes());
     }
 
     /// Marks the registration of an endpoint as draining.
-    pub fn leave(&self, id: &str) {
+    pub fn mark_draining(&self, id: &str) {
         let key = format!("{ENDPOINTS}{id}");
         let mut state = self.state.lock();
         let Some(Ok(mut entry)) = state
@@ -225,7 +229,7 @@
     }
 
     /// Ends the evacuation of a failure domain.
-    pub fn take_back(&self, failure_domain: &str) {
+    pub fn end_evacuation(&self, failure_domain: &str) {
         self.state.lock().put(&format!("{EVACUATIONS}{failure_domain}"), None);
         self.changed.notify_waiters();
     }
@@ -237,9 +241,9 @@
     }
 
     /// Discards the history of changes, so that watches of older revisions fail.
-    pub fn forget(&self) {
+    pub fn discard_history(&self) {
         let mut state = self.state.lock();
-        state.forgotten = state.revision;
+        state.discarded_to = state.revision;
         state.history.clear();
     }
 
@@ -250,14 +254,14 @@
 
     /// Restores the store from the copy that it had at `revision`. Later writes are lost, and their revisions are
     /// assigned again.
-    pub fn come_back(&self, revision: u64) {
+    pub fn restore(&self, revision: u64) {
         self.state.lock().restore(revision);
         self.changed.notify_waiters();
     }
 
     /// Overrides the era in answers; `None` omits the header. Simulates answers that a correct store does not give.
-    pub fn tell_era(&self, era: Option<&str>) {
-        self.state.lock().told_era = Some(era.map(str::to_owned));
+    pub fn override_era(&self, era: Option<&str>) {
+        self.state.lock().era_override = Some(era.map(str::to_owned));
     }
 
     /// Returns the raw HTTP answer to a call that is rejected with status 503.
@@ -323,7 +327,7 @@
         let Some(event) = state.items.get(key) else {
             return answer(StatusCode::NOT_FOUND, "");
         };
-        let mut item = state.show(event);
+        let mut item = state.served_item(event);
         item["currentRev"] = json!(state.revision);
         server::json(&item)
     }
@@ -332,7 +336,7 @@
         let state = self.state.lock();
         let found = state.items.values();
         let mut found = found.filter(|it| it.key.starts_with(prefix) && it.key.as_str() > after);
-        let items: Vec<Value> = found.by_ref().take(PAGE).map(|it| state.show(it)).collect();
+        let items: Vec<Value> = found.by_ref().take(PAGE).map(|it| state.served_item(it)).collect();
         let has_more = found.next().is_some();
         let revision = state.revision;
         server::json(&json!({ "items": items, "hasMore": has_more, "currentRev": revision }))
@@ -359,13 +363,13 @@
         is_over: bool,
     ) -> Option<http::Response<server::Body>> {
         let state = self.state.lock();
-        if after < state.forgotten || after > state.revision {
+        if after < state.discarded_to || after > state.revision {
             return Some(answer(StatusCode::GONE, ""));
         }
-        let shown = state.history.iter().filter(|it| {
+        let served = state.history.iter().filter(|it| {
             it.revision > after && it.key.starts_with(prefix) && state.fault != Fault::Stale
         });
-        let events: Vec<Value> = shown.map(|it| state.show(it)).collect();
+        let events: Vec<Value> = served.map(|it| state.served_item(it)).collect();
         let revision = if state.fault == Fault::Stale { after } else { state.revision };
         (is_over || !events.is_empty())
             .then(|| server::json(&json!({ "events": events, "currentRev": revision })))
@@ -379,7 +383,8 @@
 
     async fn put_keyed(self, req: Request<Incoming>) -> Answer {
         let buf = req.into_body().collect().await.map_err(std::io::Error::other)?.to_bytes();
-        let (resources, organisations): (Vec<Resource>, Vec<Keyed>) = serde_json::from_slice(&buf)?;
+        let (resources, organisations): (Vec<Resource>, Vec<KeyedOrganisation>) =
+            serde_json::from_slice(&buf)?;
         Ok(server::json(&self.publish_keyed(&resources, &organisations)))
     }
 
@@ -406,14 +411,15 @@
 }
 
 /// Registers all endpoints of the resources and removes all other registrations.
-fn announce(state: &mut State, resources: &[Resource]) {
+fn register_endpoints(state: &mut State, resources: &[Resource]) {
     let mut entries = BTreeMap::new();
     for it in resources {
         let Resource::Service(service) = it else { continue };
         for endpoint in &service.endpoints {
             let slots = if endpoint.slots == 0 { service.slots } else { endpoint.slots };
             let key = format!("{ENDPOINTS}{}", endpoint.id);
-            entries.insert(key, entry(&service.name, endpoint, slots).to_string().into_bytes());
+            entries
+                .insert(key, registration(&service.name, endpoint, slots).to_string().into_bytes());
         }
     }
     let is_gone = |key: &String| key.starts_with(ENDPOINTS) && !entries.contains_key(key);
@@ -426,7 +432,7 @@
     }
 }
 
-fn entry(service: &str, it: &Endpoint, slots: u32) -> Value {
+fn registration(service: &str, it: &Endpoint, slots: u32) -> Value {
     let state = if it.standing == Standing::Leaving { "draining" } else { "ready" };
     json!({
         "service": service, "address": it.addr, "zone": it.failure_domain, "version": "v1",
@@ -437,7 +443,7 @@
 
 /// Converts resources to the platform's configuration format. Fields that the format lacks, such as methods and
 /// floors, are omitted.
-fn config(version: u64, resources: &[Resource]) -> Value {
+fn config_document(version: u64, resources: &[Resource]) -> Value {
     let mut routes = Vec::new();
     let mut services = Vec::new();
     for it in resources {
--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -6,7 +6,7 @@
 use resources::Resource;
 use standin::client;
 use standin::node::Node;
-use standin::platform::Keyed;
+use standin::platform::KeyedOrganisation;
 use tokio::time::{Instant, sleep};
 
 /// The header of a caller with a key, and the key of an organisation without a limit.
@@ -30,7 +30,7 @@
     nodes: &[Node],
 ) -> anyhow::Result<()> {
     println!("\nTwo organisations with keys; the bakery may make {RATE} requests a second:");
-    let keyed = |name: &str, key: &str, rate_per_s, burst| Keyed {
+    let keyed = |name: &str, key: &str, rate_per_s, burst| KeyedOrganisation {
         name: name.to_owned(),
         keys: vec![key.to_owned()],
         rate_per_s,
--- a/xtask/src/faults/cell.rs
+++ b/xtask/src/faults/cell.rs
@@ -146,7 +146,7 @@
         Kind::PlatformDown => bed.platform.set_fault(platform::Fault::Down),
         Kind::PlatformStale => bed.platform.set_fault(platform::Fault::Stale),
         Kind::Upstream(gray) => sick.set_fault(gray, 1.0, 10.0),
-        Kind::UpstreamLeaving => bed.platform.leave(sick.name()),
+        Kind::UpstreamLeaving => bed.platform.mark_draining(sick.name()),
         Kind::Flap => {
             for _ in 0..4 {
                 sick.set_fault(Gray::Stall, 1.0, 1.0);
