--- a/crates/fleet/tests/exchange.rs
+++ b/crates/fleet/tests/exchange.rs
@@ -15,7 +15,7 @@
 /// Nodes that know each other and have configuration 1 in force.
 fn started(n: usize, loss: f64) -> Net {
     let mut net = Net::new(n, loss);
-    (0..n).for_each(|i| net.read(i, 1));
+    (0..n).for_each(|i| net.read_platform(i, 1));
     net.run_with_platform(Duration::from_secs(20), 1);
     assert_eq!(net.in_force(), vec![1; n]);
     net
@@ -25,7 +25,7 @@
 fn a_configuration_that_one_node_reads_comes_into_force_everywhere() {
     for loss in [0.0, 0.2] {
         let mut net = started(40, loss);
-        net.read(0, 2);
+        net.read_platform(0, 2);
         net.run(Duration::from_secs(10));
         assert_eq!(net.in_force(), [2; 40], "loss {loss}");
     }
@@ -66,7 +66,7 @@
     let mut net = started(6, 0.0);
     // Node 5 can be heard but hears only node 0.
     net.cut = (1..5).map(|i| (i, 5)).collect();
-    net.read(1, 2);
+    net.read_platform(1, 2);
     net.run(Duration::from_secs(30));
     assert_eq!(net.in_force(), [2; 6]);
 }
@@ -74,11 +74,11 @@
 #[test]
 fn a_restarted_node_learns_from_peers_what_the_platform_does_not_tell() {
     let mut net = started(5, 0.1);
-    net.read(0, 2);
+    net.read_platform(0, 2);
     net.run(Duration::from_secs(5));
     net.restart(3);
     // The platform serves the old configuration, or nothing.
-    net.read(3, 1);
+    net.read_platform(3, 1);
     net.run(Duration::from_secs(10));
     assert_eq!(net.in_force(), [2; 5]);
 }
@@ -98,8 +98,8 @@
     for i in 0..4 {
         net.cut.extend((4..8).flat_map(|j| [(i, j), (j, i)]));
     }
-    net.read(0, 3);
-    net.read(4, 2);
+    net.read_platform(0, 3);
+    net.read_platform(4, 2);
     net.run(Duration::from_secs(10));
     assert_eq!(net.in_force(), [3, 3, 3, 3, 2, 2, 2, 2]);
     net.cut.clear();
@@ -209,7 +209,7 @@
     let it = Rejection { request: RequestKey(7), valid_ms: 120_000 };
     for loss in [0.0, 0.2] {
         let mut net = started(40, loss);
-        net.reject(0, it);
+        net.announce_rejection(0, it);
         net.run(contact);
         let knows = |net: &Net, i: usize| net.nodes[i].rejected(net.now, it.request).is_some();
         let known = (0..40).filter(|i| knows(&net, *i)).count();
--- a/crates/fleet/tests/returns.rs
+++ b/crates/fleet/tests/returns.rs
@@ -70,11 +70,11 @@
 fn check(trouble: Trouble) {
     let mut net = started(trouble.loss);
     assert!((0..NODES).all(|i| in_use(&net, i).len() == BEFORE), "{trouble:?}");
-    net.come_back(BEFORE - 5);
+    net.restore_platform(BEFORE - 5);
     if trouble.returns_again {
         net.run_on_links(Duration::from_millis(100));
     }
-    net.come_back(IN_COPY);
+    net.restore_platform(IN_COPY);
     (0..trouble.restarts).for_each(|i| net.restart(i * 3));
     // The last ones, which read the platform for themselves if nobody tells them.
     for i in NODES - trouble.cut_off..NODES {
--- a/crates/fleet/tests/waits.rs
+++ b/crates/fleet/tests/waits.rs
@@ -14,10 +14,10 @@
 /// Nodes that have configuration 1, and the readers among them, which have just read.
 fn settled(n: usize) -> (Net, Vec<usize>) {
     let mut net = Net::new(n, 0.0);
-    (0..n).for_each(|i| net.read(i, 1));
+    (0..n).for_each(|i| net.read_platform(i, 1));
     net.run_with_platform(Duration::from_secs(20), 1);
     let readers = readers(&net);
-    readers.iter().for_each(|i| net.read(*i, 1));
+    readers.iter().for_each(|i| net.read_platform(*i, 1));
     (net, readers)
 }
 
@@ -38,7 +38,7 @@
         look(net, start);
         for i in readers(net) {
             if !silent.contains(&i) {
-                net.read(i, 2);
+                net.read_platform(i, 2);
             }
         }
     }
@@ -80,7 +80,7 @@
     let behind = (0..12).find(|i| !readers.contains(i)).unwrap();
     // It hears all others and reaches nobody.
     net.cut = (0..12).map(|j| (behind, j)).collect();
-    readers.iter().for_each(|i| net.read(*i, 2));
+    readers.iter().for_each(|i| net.read_platform(*i, 2));
     for _ in 0..8 {
         net.run(STEP);
         assert_eq!(net.in_force()[behind], 1);
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -135,7 +135,7 @@
     }
 
     /// Restores the platform's registry from the copy that it had after this many changes.
-    pub fn come_back(&mut self, endpoints: usize) {
+    pub fn restore_platform(&mut self, endpoints: usize) {
         self.platform.restore(endpoints);
     }
 
@@ -271,14 +271,14 @@
             self.run(TURN * 10);
             for i in 0..self.nodes.len() {
                 if self.nodes[i].duty().reads(self.now) == Reads::Everything {
-                    self.read(i, version);
+                    self.read_platform(i, version);
                 }
             }
         }
     }
 
     /// Makes a node read this version of the configuration from the platform.
-    pub fn read(&mut self, i: usize, version: u64) {
+    pub fn read_platform(&mut self, i: usize, version: u64) {
         let document = Document { version, ..Document::default() };
         self.take(i, Published { document: Some(document), ..Published::default() });
     }
@@ -303,7 +303,7 @@
     }
 
     /// Makes node `i` announce the rejection of a request.
-    pub fn reject(&mut self, i: usize, it: Rejection) {
+    pub fn announce_rejection(&mut self, i: usize, it: Rejection) {
         let effects = self.nodes[i].tell_rejections(self.now, vec![it]);
         self.apply(i, effects);
     }
--- a/xtask/src/measure/slopes.rs
+++ b/xtask/src/measure/slopes.rs
@@ -93,7 +93,7 @@
 
 fn exchange(nodes: usize) -> Exchange {
     let mut net = Net::new(nodes, 0.01);
-    (0..nodes).for_each(|i| net.read(i, 1));
+    (0..nodes).for_each(|i| net.read_platform(i, 1));
     net.run_with_platform(Duration::from_secs(60), 1);
     net.control_bytes = 0;
     let (since, virtual_time) = (Instant::now(), Duration::from_secs(10));
