--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -22,23 +22,23 @@
 use platform::{Answer, Call, Platform, WATCH};
 
 /// Virtual time between two ticks of a node.
-const TURN: Duration = Duration::from_millis(50);
+const TICK: Duration = Duration::from_millis(50);
 /// Number of nodes that serve as seeds for the others.
 const SEEDS: usize = 3;
 /// Number of failure domains.
 const DOMAINS: u64 = 3;
 /// Time after which a fetch is abandoned.
-const FETCH_LIMIT: Duration = Duration::from_secs(2);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time that the answer to a watch may take beyond the watch's own waiting time.
-const WATCH_PATIENCE: Duration = Duration::from_millis(400);
-/// Pause after the first call without an answer; doubles with each further one up to `LONGEST_PAUSE`.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+const WATCH_MARGIN: Duration = Duration::from_millis(400);
+/// Pause after the first call without an answer; doubles with each further one up to `MAX_PAUSE`.
+const MIN_PAUSE: Duration = Duration::from_millis(150);
 /// Longest pause after a call without an answer.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_500);
+const MAX_PAUSE: Duration = Duration::from_millis(2_500);
 /// Factor by which the platform's text encoding lengthens documents.
-const PLATFORM_LENGTH: f64 = 4.0 / 3.0;
+const ENCODING_FACTOR: f64 = 4.0 / 3.0;
 /// Length of a registry entry in the platform's encoding, in bytes.
-const ENTRY_BYTES: usize = 330;
+const REGISTRY_ENTRY_BYTES: usize = 330;
 
 /// A simulated fleet: nodes, the network between them, and a platform.
 pub struct Net {
@@ -57,7 +57,7 @@
     /// Bytes that nodes fetched from each other over their links.
     pub fetched_bytes: u64,
     /// Index of each node by address.
-    places: FxHashMap<SocketAddr, usize>,
+    index_by_addr: FxHashMap<SocketAddr, usize>,
     /// Nodes that have put their first configuration in force and whose phase has not changed yet.
     just_configured: Vec<usize>,
     /// Links of the nodes. Without links, fetches complete immediately.
@@ -69,7 +69,7 @@
 }
 
 /// Length of a document in bytes before the platform's text encoding.
-fn length(document: &Document) -> usize {
+fn document_len(document: &Document) -> usize {
     serde_json::to_vec(document).expect("string keys only").len()
 }
 
@@ -78,7 +78,7 @@
     ([127, 0, (i / 250) as u8, (i % 250) as u8 + 1], 7400).into()
 }
 
-fn started(
+fn new_node(
     now: Time,
     i: usize,
     incarnation: u64,
@@ -96,14 +96,14 @@
     pub fn new(n: usize, loss: f64) -> Self {
         let mut rng = StdRng::seed_from_u64(7);
         Self {
-            nodes: (0..n).map(|i| started(Time(0), i, 1, Capacity::default(), &mut rng)).collect(),
+            nodes: (0..n).map(|i| new_node(Time(0), i, 1, Capacity::default(), &mut rng)).collect(),
             now: Time(0),
             cut: Vec::new(),
             control_bytes: 0,
             in_force_at: BTreeMap::new(),
             endpoints_at: BTreeMap::new(),
             fetched_bytes: 0,
-            places: (0..n).map(|i| (addr(i), i)).collect(),
+            index_by_addr: (0..n).map(|i| (addr(i), i)).collect(),
             just_configured: Vec::new(),
             links: Vec::new(),
             platform: Platform::default(),
@@ -124,7 +124,7 @@
         self.links = (0..self.nodes.len()).map(|i| Link::new(f64::from(mbps(i)))).collect();
         for i in 0..self.nodes.len() {
             let capacity = Capacity { link_mbps: mbps(i), ..Capacity::default() };
-            self.nodes[i] = started(self.now, i, 1, capacity, &mut self.rng);
+            self.nodes[i] = new_node(self.now, i, 1, capacity, &mut self.rng);
         }
         self
     }
@@ -146,17 +146,17 @@
 
     /// Publishes a configuration on the platform. Only nodes with links read it; see `run_on_links`.
     pub fn publish(&mut self, document: Document) {
-        self.platform.newest = Some(document);
+        self.platform.newest_document = Some(document);
     }
 
     /// Advances time while nodes read the platform and fetch from each other over their links.
     pub fn run_on_links(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.run(TURN);
+            self.run(TICK);
             for i in 0..self.nodes.len() {
                 self.end_transfers(i);
-                self.wait_for_platform(i);
+                self.poll_platform(i);
             }
             for i in std::mem::take(&mut self.just_configured) {
                 self.set_phase(i, Phase::Fresh);
@@ -165,11 +165,11 @@
     }
 
     fn end_transfers(&mut self, from: usize) {
-        let ended = self.links[from].turn(self.now, TURN, FETCH_LIMIT);
-        for it in ended.late {
+        let ended = self.links[from].advance(self.now, TICK, FETCH_TIMEOUT);
+        for it in ended.expired {
             self.nodes[it.to].fetch_failed(FetchFailure::Lost);
         }
-        for it in ended.arrived {
+        for it in ended.completed {
             self.fetched(it.to, it.bundle);
         }
     }
@@ -177,16 +177,16 @@
     /// Completes the platform call of a node and starts the next one. The next call starts immediately after an
     /// answer, as a watch returns changes as soon as they exist. A node whose calls are delayed by its own transfers
     /// gets no answer in time, and pauses.
-    fn wait_for_platform(&mut self, i: usize) {
+    fn poll_platform(&mut self, i: usize) {
         if let Some(call) = self.platform.calls.get(&i).cloned() {
             if self.now < call.ends {
                 return;
             }
             self.platform.calls.remove(&i);
             match call.answer {
-                Answer::News(news) => {
+                Answer::Update(update) => {
                     self.platform.pauses.remove(&i);
-                    self.take(i, news);
+                    self.apply_update(i, update);
                 }
                 Answer::Configuration(document) => {
                     self.platform.pauses.remove(&i);
@@ -210,43 +210,43 @@
 
     fn call(&mut self, i: usize, reads: Reads) -> Call {
         let link = &self.links[i];
-        if link.delay() > WATCH_PATIENCE {
-            let pause = self.platform.pauses.entry(i).or_insert(FIRST_PAUSE);
-            let ends = self.now + WATCH + WATCH_PATIENCE + *pause;
-            *pause = (*pause * 2).min(LONGEST_PAUSE);
+        if link.queueing_delay() > WATCH_MARGIN {
+            let pause = self.platform.pauses.entry(i).or_insert(MIN_PAUSE);
+            let ends = self.now + WATCH + WATCH_MARGIN + *pause;
+            *pause = (*pause * 2).min(MAX_PAUSE);
             return Call { ends, answer: Answer::Lost };
         }
-        let known = self.nodes[i].replica().facts().version;
-        let newer = self.platform.newest.clone().filter(|it| it.version > known);
-        let has = self.nodes[i].replica().facts().registry;
-        let news = self.platform.since(has, newer.clone());
+        let known_version = self.nodes[i].replica().facts().version;
+        let newer = self.platform.newest_document.clone().filter(|it| it.version > known_version);
+        let known_position = self.nodes[i].replica().facts().registry;
+        let update = self.platform.since(known_position, newer.clone());
         let mut bytes =
-            newer.as_ref().map_or(0.0, |it| length(it) as f64 * PLATFORM_LENGTH) as usize;
+            newer.as_ref().map_or(0.0, |it| document_len(it) as f64 * ENCODING_FACTOR) as usize;
         if reads == Reads::Everything {
-            bytes += news.endpoints.len() * ENTRY_BYTES;
+            bytes += update.endpoints.len() * REGISTRY_ENTRY_BYTES;
         }
-        self.platform.count(self.now, i, &news, bytes > 0);
-        let took = match bytes {
-            0 => TURN,
-            _ => link.delay() + link.time_for(bytes),
+        self.platform.count_calls(self.now, i, &update, bytes > 0);
+        let duration = match bytes {
+            0 => TICK,
+            _ => link.queueing_delay() + link.transfer_time(bytes),
         };
         let answer = match reads {
             Reads::Configuration => Answer::Configuration(newer),
-            _ => Answer::News(news),
+            _ => Answer::Update(update),
         };
-        Call { ends: self.now + took, answer }
+        Call { ends: self.now + duration, answer }
     }
 
-    fn take(&mut self, i: usize, news: Published) {
-        if let Some(it) = &news.document {
+    fn apply_update(&mut self, i: usize, update: Published) {
+        if let Some(it) = &update.document {
             self.accept(i, it);
         }
-        let effects = self.nodes[i].read(self.now, news);
-        self.note_endpoints(i);
+        let effects = self.nodes[i].read(self.now, update);
+        self.record_registry_time(i);
         self.apply(i, effects);
     }
 
-    fn note_endpoints(&mut self, i: usize) {
+    fn record_registry_time(&mut self, i: usize) {
         if self.nodes[i].replica().facts().registry.is_known() {
             self.endpoints_at.entry(i).or_insert(self.now);
         }
@@ -256,7 +256,7 @@
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now = self.now + TURN;
+            self.now = self.now + TICK;
             for i in 0..self.nodes.len() {
                 let effects = self.nodes[i].tick(self.now, &mut self.rng);
                 self.apply(i, effects);
@@ -268,7 +268,7 @@
     pub fn run_with_platform(&mut self, time: Duration, version: u64) {
         let end = self.now + time;
         while self.now < end {
-            self.run(TURN * 10);
+            self.run(TICK * 10);
             for i in 0..self.nodes.len() {
                 if self.nodes[i].duty().reads(self.now) == Reads::Everything {
                     self.read_platform(i, version);
@@ -280,7 +280,7 @@
     /// Makes a node read this version of the configuration from the platform.
     pub fn read_platform(&mut self, i: usize, version: u64) {
         let document = Document { version, ..Document::default() };
-        self.take(i, Published { document: Some(document), ..Published::default() });
+        self.apply_update(i, Published { document: Some(document), ..Published::default() });
     }
 
     /// Sets the phase of a node.
@@ -292,7 +292,7 @@
     /// Replaces a node by one without any state.
     pub fn restart(&mut self, i: usize) {
         let capacity = self.nodes[i].capacity();
-        self.nodes[i] = started(self.now, i, 2, capacity, &mut self.rng);
+        self.nodes[i] = new_node(self.now, i, 2, capacity, &mut self.rng);
         self.platform.calls.remove(&i);
         self.endpoints_at.remove(&i);
     }
@@ -335,9 +335,10 @@
     }
 
     fn fetch(&mut self, i: usize, from: SocketAddr) {
-        let peer = self.places.get(&from).copied();
-        let reached = peer.filter(|j| !self.cut.contains(&(i, *j)) && !self.cut.contains(&(*j, i)));
-        let Some(j) = reached else { return self.nodes[i].fetch_failed(FetchFailure::Lost) };
+        let peer = self.index_by_addr.get(&from).copied();
+        let reachable =
+            peer.filter(|j| !self.cut.contains(&(i, *j)) && !self.cut.contains(&(*j, i)));
+        let Some(j) = reachable else { return self.nodes[i].fetch_failed(FetchFailure::Lost) };
         let asker = self.nodes[i].info();
         let (bundle, effects) = self.nodes[j].bundle(self.now, asker);
         self.apply(j, effects);
@@ -346,19 +347,19 @@
         }
         let bytes = bundle.encoded_len();
         self.fetched_bytes += bytes as u64;
-        if !self.links[j].begin(self.now, i, bundle, bytes) {
+        if !self.links[j].start(self.now, i, bundle, bytes) {
             self.nodes[i].fetch_failed(FetchFailure::Busy);
         }
     }
 
     fn fetched(&mut self, i: usize, bundle: Bundle) {
         let members = bundle.members.clone();
-        let news = bundle.decode().expect("it was encoded here");
-        if let Some(it) = &news.document {
+        let update = bundle.decode().expect("it was encoded here");
+        if let Some(it) = &update.document {
             self.accept(i, it);
         }
-        let effects = self.nodes[i].fetched(self.now, &news, members);
-        self.note_endpoints(i);
+        let effects = self.nodes[i].fetched(self.now, &update, members);
+        self.record_registry_time(i);
         self.apply(i, effects);
     }
 
@@ -366,15 +367,15 @@
         let frame = self.nodes[from].frame(message);
         let n = frame.encode(&self.keys).expect("frames fit a datagram").len();
         self.control_bytes += 2 * n as u64;
-        let is_round = matches!(frame.message, Message::Gossip(_));
-        if is_round {
+        let is_gossip = matches!(frame.message, Message::Gossip(_));
+        if is_gossip {
             self.nodes[from].spend(n);
         }
-        let Some(j) = self.places.get(&to).copied() else { return };
+        let Some(j) = self.index_by_addr.get(&to).copied() else { return };
         if self.cut.contains(&(from, j)) || self.rng.random_bool(self.loss) {
             return;
         }
-        if is_round {
+        if is_gossip {
             self.nodes[j].spend(n);
         }
         let effects = self.nodes[j].receive(self.now, addr(from), frame, &mut self.rng);
--- a/crates/standin/src/net/links.rs
+++ b/crates/standin/src/net/links.rs
@@ -8,7 +8,7 @@
 use policy::Time;
 
 /// Bytes that one connection queues at a saturated link: a typical TCP window.
-const WINDOW: f64 = 64.0 * 1024.0;
+const TCP_WINDOW: f64 = 64.0 * 1024.0;
 
 /// A transfer from one node to another.
 #[derive(Debug)]
@@ -16,8 +16,8 @@
     pub(super) to: usize,
     pub(super) bundle: Bundle,
     /// Bytes that remain to be sent.
-    left: f64,
-    since: Time,
+    remaining_bytes: f64,
+    started: Time,
     _admitted: Admitted,
 }
 
@@ -25,9 +25,9 @@
 #[derive(Debug, Default)]
 pub(super) struct Ended {
     /// Transfers that completed.
-    pub(super) arrived: Vec<Transfer>,
+    pub(super) completed: Vec<Transfer>,
     /// Transfers that exceeded the time limit.
-    pub(super) late: Vec<Transfer>,
+    pub(super) expired: Vec<Transfer>,
 }
 
 /// Sending direction of a node's link.
@@ -45,28 +45,37 @@
     }
 
     /// Starts a transfer if the backlog admits it; returns whether it did.
-    pub(super) fn begin(&mut self, now: Time, to: usize, bundle: Bundle, bytes: usize) -> bool {
+    pub(super) fn start(&mut self, now: Time, to: usize, bundle: Bundle, bytes: usize) -> bool {
         let Some(admitted) = self.backlog.admit(bytes) else { return false };
-        let left = bytes as f64;
-        self.active.push(Transfer { to, bundle, left, since: now, _admitted: admitted });
+        let remaining_bytes = bytes as f64;
+        self.active.push(Transfer {
+            to,
+            bundle,
+            remaining_bytes,
+            started: now,
+            _admitted: admitted,
+        });
         true
     }
 
-    /// Advances time by `turn` and returns the transfers that ended. Transfers older than `limit` are abandoned.
-    pub(super) fn turn(&mut self, now: Time, turn: Duration, limit: Duration) -> Ended {
-        let late = self.active.extract_if(.., |it| now.since(it.since) >= limit).collect();
-        let share = self.bytes_per_s * turn.as_secs_f64() / self.active.len().max(1) as f64;
-        self.active.iter_mut().for_each(|it| it.left -= share);
-        Ended { arrived: self.active.extract_if(.., |it| it.left <= 0.0).collect(), late }
+    /// Advances by `time` and returns the transfers that ended. Transfers older than `limit` are abandoned.
+    pub(super) fn advance(&mut self, now: Time, time: Duration, limit: Duration) -> Ended {
+        let expired = self.active.extract_if(.., |it| now.since(it.started) >= limit).collect();
+        let share = self.bytes_per_s * time.as_secs_f64() / self.active.len().max(1) as f64;
+        self.active.iter_mut().for_each(|it| it.remaining_bytes -= share);
+        Ended {
+            completed: self.active.extract_if(.., |it| it.remaining_bytes <= 0.0).collect(),
+            expired,
+        }
     }
 
     /// Returns the time for which active transfers delay a call of this node.
-    pub(super) fn delay(&self) -> Duration {
-        Duration::from_secs_f64(self.active.len() as f64 * WINDOW / self.bytes_per_s)
+    pub(super) fn queueing_delay(&self) -> Duration {
+        Duration::from_secs_f64(self.active.len() as f64 * TCP_WINDOW / self.bytes_per_s)
     }
 
     /// Returns the time that this node takes to receive this many bytes over an otherwise idle link.
-    pub(super) fn time_for(&self, bytes: usize) -> Duration {
+    pub(super) fn transfer_time(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.bytes_per_s)
     }
 }
