--- a/crates/standin/src/bed.rs
+++ b/crates/standin/src/bed.rs
@@ -15,7 +15,7 @@
 /// Number of nodes that serve as seeds for the others.
 const SEEDS: usize = 3;
 /// Limit for the start of all nodes, and for waiting on their reports.
-const START: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A test bed with one service. Requests for `/slots/…` may be repeated and hedged, requests for `/bookings/…` are
 /// repeated only if they did not run, and answers to `/archives/…` are long.
@@ -78,9 +78,9 @@
     }
 
     /// Returns the requests per second that keep this share of the slots in use.
-    pub fn rate(&self, used: f64) -> f64 {
+    pub fn rate(&self, utilization: f64) -> f64 {
         let slots = (self.endpoints * self.profile.slots) as f64;
-        used * slots / Duration::from_micros(self.profile.service_us).as_secs_f64()
+        utilization * slots / Duration::from_micros(self.profile.service_us).as_secs_f64()
     }
 
     fn resources(&self, endpoints: &[Endpoint]) -> anyhow::Result<Vec<Resource>> {
@@ -96,13 +96,13 @@
                 "repeat": repeat, "hedge": name == "lookup", "stream": name == "archive",
             })
         };
-        let documents = [
+        let resources = [
             service,
             route("lookup", "/slots/", "anytime"),
             route("booking", "/bookings/", "if-not-run"),
             route("archive", "/archives/", "anytime"),
         ];
-        Ok(documents.into_iter().map(serde_json::from_value).collect::<Result<_, _>>()?)
+        Ok(resources.into_iter().map(serde_json::from_value).collect::<Result<_, _>>()?)
     }
 }
 
@@ -111,12 +111,12 @@
     pub async fn start(bin: &Path, layout: &Layout) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
         let free = node::free_addrs(1 + layout.endpoints + 3 * layout.nodes)?;
-        let (own, of_nodes) = free.split_at(1 + layout.endpoints);
+        let (standin_addrs, node_addrs) = free.split_at(1 + layout.endpoints);
         let platform = Platform::default();
-        tokio::spawn(platform.clone().serve(server::bind(own[0]).await?));
+        tokio::spawn(platform.clone().serve(server::bind(standin_addrs[0]).await?));
         let mut upstreams = Vec::new();
         let mut endpoints = Vec::new();
-        for (i, addr) in own[1..].iter().enumerate() {
+        for (i, addr) in standin_addrs[1..].iter().enumerate() {
             let upstream = Upstream::new(&addr.to_string(), layout.profile.clone());
             tokio::spawn(upstream.clone().serve(server::bind(*addr).await?));
             upstreams.push(upstream);
@@ -133,8 +133,8 @@
         }
         let resources = layout.resources(&endpoints)?;
         platform.publish(&resources);
-        let addrs = node::nodes_at(of_nodes, &layout.failure_domains);
-        let mut options = Options::new(bin, own[0]);
+        let addrs = node::nodes_at(node_addrs, &layout.failure_domains);
+        let mut options = Options::new(bin, standin_addrs[0]);
         options.mode = layout.mode.into();
         options.floor = layout.floor.into();
         options.bias = layout.bias.into();
@@ -144,9 +144,16 @@
             nodes.push(Node::start(dir.path(), it, &options)?);
         }
         for it in &nodes {
-            it.wait_ready(START).await?;
+            it.wait_ready(TIMEOUT).await?;
         }
-        Ok(Self { nodes, upstreams, platform, platform_addr: own[0], resources, _dir: dir })
+        Ok(Self {
+            nodes,
+            upstreams,
+            platform,
+            platform_addr: standin_addrs[0],
+            resources,
+            _dir: dir,
+        })
     }
 
     /// Waits until all nodes have this version of the configuration in force.
@@ -157,12 +164,12 @@
     /// Waits until the reports of all nodes satisfy a condition.
     pub async fn wait_reports(
         &self,
-        holds: impl Fn(&serde_json::Value) -> bool,
+        condition: impl Fn(&serde_json::Value) -> bool,
     ) -> anyhow::Result<()> {
         let since = Instant::now();
         for it in &self.nodes {
-            while !it.report().await.is_ok_and(|it| holds(&it)) {
-                if since.elapsed() > START {
+            while !it.report().await.is_ok_and(|it| condition(&it)) {
+                if since.elapsed() > TIMEOUT {
                     bail!("timed out; report of {}: {}", it.addrs.fleet, it.report().await?);
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
@@ -222,11 +229,11 @@
 }
 
 /// Clock ticks per second in which Linux reports CPU time.
-const TICKS_PER_SECOND: f64 = 100.0;
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
 
 fn cpu_seconds(pid: u32) -> Option<f64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let (user, system): (f64, f64) = (fields.get(11)?.parse().ok()?, fields.get(12)?.parse().ok()?);
-    Some((user + system) / TICKS_PER_SECOND)
+    Some((user + system) / CLOCK_TICKS_PER_SECOND)
 }
