--- a/crates/standin/src/caller.rs
+++ b/crates/standin/src/caller.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 
 /// Time after which a caller abandons a request. Deadlines of routes are shorter.
-const GIVE_UP: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Requests that the callers send.
 #[derive(Clone, Debug)]
@@ -65,11 +65,11 @@
     pub answered_ids: Vec<String>,
 }
 
-struct Seen {
+struct Recorder {
     summary: Summary,
     latency: Histogram<u64>,
     errors: Histogram<u64>,
-    keep_ids: bool,
+    records_ids: bool,
 }
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
@@ -79,12 +79,12 @@
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     let client = Client::builder(TokioExecutor::new()).build(connector);
-    let hist = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("constant bounds");
-    let seen = Arc::new(Mutex::new(Seen {
+    let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid");
+    let recorder = Arc::new(Mutex::new(Recorder {
         summary: Summary::default(),
-        latency: hist(),
-        errors: hist(),
-        keep_ids: plan.method != "GET",
+        latency: histogram(),
+        errors: histogram(),
+        records_ids: plan.method != "GET",
     }));
     let started = Instant::now();
     let run_id: u64 = rand::rng().random();
@@ -104,23 +104,23 @@
             .uri(format!("http://{target}{}", plan.path))
             .header("x-request-id", &id)
             .body(Full::new(Bytes::from(if plan.method == "GET" { "" } else { "work" })))
-            .expect("the plan names a method and a path");
-        tasks.spawn(one(client.clone(), req, id, started + due, seen.clone()));
+            .expect("the plan has a valid method and path");
+        tasks.spawn(send_one(client.clone(), req, id, started + due, recorder.clone()));
         n += 1;
         while tasks.try_join_next().is_some() {}
     }
     while tasks.join_next().await.is_some() {}
-    let mut seen = seen.lock();
-    seen.summary.sent = n;
-    seen.finish()
+    let mut recorder = recorder.lock();
+    recorder.summary.sent = n;
+    recorder.finish()
 }
 
-async fn one(
+async fn send_one(
     client: HttpClient,
     req: Request<Full<Bytes>>,
     id: String,
     due: Instant,
-    seen: Arc<Mutex<Seen>>,
+    recorder: Arc<Mutex<Recorder>>,
 ) {
     let exchange = async {
         let res = client.request(req).await.ok()?;
@@ -128,44 +128,45 @@
         let body = body.collect().await.ok()?.to_bytes();
         Some((parts, body))
     };
-    let got = tokio::time::timeout(GIVE_UP, exchange).await.ok().flatten();
+    let got = tokio::time::timeout(REQUEST_TIMEOUT, exchange).await.ok().flatten();
     let us = due.elapsed().as_micros() as u64;
-    let mut seen = seen.lock();
+    let mut recorder = recorder.lock();
     let Some((parts, body)) = got else {
-        seen.summary.broken += 1;
+        recorder.summary.broken += 1;
         return;
     };
-    *seen.summary.statuses.entry(parts.status.as_u16()).or_insert(0) += 1;
+    *recorder.summary.statuses.entry(parts.status.as_u16()).or_insert(0) += 1;
     let outcome = parts.headers.get("x-request-outcome").map(|it| it.as_bytes().to_vec());
-    let is_own = parts.headers.get("x-request-id").is_none_or(|it| it.as_bytes() == id.as_bytes());
-    let names_id = body.windows(id.len()).any(|it| it == id.as_bytes());
+    let has_own_id =
+        parts.headers.get("x-request-id").is_none_or(|it| it.as_bytes() == id.as_bytes());
+    let body_has_id = body.windows(id.len()).any(|it| it == id.as_bytes());
     let is_download = parts.headers.contains_key("etag");
     match (parts.status, outcome.as_deref()) {
         (status, None) if status.is_success() => {
-            seen.summary.answered += 1;
-            seen.summary.crossed += u64::from(!is_own || !names_id && !is_download);
-            let _ = seen.latency.record(us.max(1));
-            if seen.keep_ids {
-                seen.summary.answered_ids.push(id);
+            recorder.summary.answered += 1;
+            recorder.summary.crossed += u64::from(!has_own_id || !body_has_id && !is_download);
+            let _ = recorder.latency.record(us.max(1));
+            if recorder.records_ids {
+                recorder.summary.answered_ids.push(id);
             }
             return;
         }
         (_, Some(b"not-run")) => {
-            seen.summary.not_run += 1;
-            if seen.keep_ids {
-                seen.summary.not_run_ids.push(id);
+            recorder.summary.not_run += 1;
+            if recorder.records_ids {
+                recorder.summary.not_run_ids.push(id);
             }
         }
-        (_, Some(b"unknown")) => seen.summary.unknown += 1,
+        (_, Some(b"unknown")) => recorder.summary.unknown += 1,
         (StatusCode::SERVICE_UNAVAILABLE, _) if parts.headers.contains_key("x-not-executed") => {
-            seen.summary.not_run += 1;
+            recorder.summary.not_run += 1;
         }
-        _ => seen.summary.other += 1,
+        _ => recorder.summary.other += 1,
     }
-    let _ = seen.errors.record(us.max(1));
+    let _ = recorder.errors.record(us.max(1));
 }
 
-impl Seen {
+impl Recorder {
     fn finish(&mut self) -> Summary {
         let at = |q: f64| self.latency.value_at_quantile(q);
         self.summary.latency_us = [at(0.5), at(0.99), at(0.999), self.latency.max()];
