--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -12,15 +12,15 @@
 use crate::client;
 
 /// Number of occupied ports that the search for free ports may skip.
-const PORT_TRIES: usize = 2_000;
+const MAX_OCCUPIED_PORTS: usize = 2_000;
 /// First port of the range in which free ports are searched.
 const FIRST_PORT: u32 = 10_000;
 /// Number of ports in that range.
-const PORTS: u32 = 22_000;
+const PORT_COUNT: u32 = 22_000;
 /// Distance between the first ports that test processes with consecutive process ids try.
-const PORTS_PER_PROCESS: u32 = 701;
+const PORT_STRIDE: u32 = 701;
 /// Number of ports that this process has tried.
-static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
+static NEXT_STEP: AtomicU32 = AtomicU32::new(0);
 
 /// Addresses and failure domain of a node.
 #[derive(Clone, Debug)]
@@ -91,19 +91,19 @@
 /// continues where the previous one ended, so that an address is not returned again soon.
 pub fn free_addrs(n: usize) -> anyhow::Result<Vec<SocketAddr>> {
     let mut free = Vec::new();
-    for _ in 0..n + PORT_TRIES {
+    for _ in 0..n + MAX_OCCUPIED_PORTS {
         if free.len() == n {
             return Ok(free);
         }
-        let step = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
-        let start = std::process::id() % PORTS * PORTS_PER_PROCESS;
-        let port = FIRST_PORT + (start + step) % PORTS;
+        let step = NEXT_STEP.fetch_add(1, Ordering::Relaxed);
+        let start = std::process::id() % PORT_COUNT * PORT_STRIDE;
+        let port = FIRST_PORT + (start + step) % PORT_COUNT;
         let addr = SocketAddr::from(([127, 0, 0, 1], port as u16));
         if TcpListener::bind(addr).is_ok() && UdpSocket::bind(addr).is_ok() {
             free.push(addr);
         }
     }
-    bail!("too few ports are free for both UDP and TCP: end other test runs")
+    bail!("not enough ports are free for both UDP and TCP; stop other test runs")
 }
 
 /// Finds addresses for `n` nodes, spread over the failure domains.
