--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -299,7 +299,7 @@
             state.fault
         };
         if fault == Fault::Down {
-            return Err(std::io::Error::other("down"));
+            return Err(std::io::Error::other("the platform is down"));
         }
         let mut answer = self.answer(req, path).await?;
         if let Some(era) = self.state.lock().era() {
@@ -360,7 +360,7 @@
         &self,
         prefix: &str,
         after: u64,
-        is_over: bool,
+        has_timed_out: bool,
     ) -> Option<http::Response<server::Body>> {
         let state = self.state.lock();
         if after < state.discarded_to || after > state.revision {
@@ -371,7 +371,7 @@
         });
         let events: Vec<Value> = served.map(|it| state.served_item(it)).collect();
         let revision = if state.fault == Fault::Stale { after } else { state.revision };
-        (is_over || !events.is_empty())
+        (has_timed_out || !events.is_empty())
             .then(|| server::json(&json!({ "events": events, "currentRev": revision })))
     }
 
@@ -422,9 +422,9 @@
                 .insert(key, registration(&service.name, endpoint, slots).to_string().into_bytes());
         }
     }
-    let is_gone = |key: &String| key.starts_with(ENDPOINTS) && !entries.contains_key(key);
-    let gone: Vec<String> = state.items.keys().filter(|it| is_gone(it)).cloned().collect();
-    gone.iter().for_each(|it| state.put(it, None));
+    let is_unlisted = |key: &String| key.starts_with(ENDPOINTS) && !entries.contains_key(key);
+    let unlisted: Vec<String> = state.items.keys().filter(|it| is_unlisted(it)).cloned().collect();
+    unlisted.iter().for_each(|it| state.put(it, None));
     for (key, value) in entries {
         if state.items.get(&key).and_then(|it| it.value.as_ref()) != Some(&value) {
             state.put(&key, Some(value));
