--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -47,14 +47,14 @@
 }
 
 /// Number of attempts to bind an address.
-const BIND_TRIES: u32 = 100;
+const BIND_ATTEMPTS: u32 = 100;
 /// Pause between attempts to bind an address.
 const BIND_PAUSE: Duration = Duration::from_millis(10);
 
 /// Binds an address that was found free, with retries. A child process that another thread spawns inherits the
 /// sockets that the search for free addresses has open, and holds them until it executes its own program.
 pub async fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
-    for _ in 0..BIND_TRIES {
+    for _ in 0..BIND_ATTEMPTS {
         match TcpListener::bind(addr).await {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 tokio::time::sleep(BIND_PAUSE).await;
@@ -66,7 +66,7 @@
 }
 
 /// Reserves an address without listening on it: connections are refused, and no other socket can bind the address.
-pub fn hold(addr: SocketAddr) -> std::io::Result<TcpSocket> {
+pub fn reserve(addr: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
@@ -82,7 +82,7 @@
 
 /// Creates a JSON answer.
 pub fn json(value: &impl serde::Serialize) -> Response<Body> {
-    answer(StatusCode::OK, serde_json::to_vec(value).expect("plain data"))
+    answer(StatusCode::OK, serde_json::to_vec(value).expect("the value serializes to JSON"))
 }
 
 /// Creates a body of known length.
