--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -21,11 +21,11 @@
 /// Query parameter that makes every endpoint that starts to run the request crash.
 pub const CRASH_PARAMETER: &str = "crashing";
 /// Time after which a crashed endpoint accepts connections again.
-const BACK_AFTER: Duration = Duration::from_secs(1);
+const RESTART_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of connections that wait to be accepted after a crash.
-const BACKLOG: u32 = 1024;
+const LISTEN_BACKLOG: u32 = 1024;
 /// Size of one chunk of a download in bytes.
-const PIECE: usize = 16 * 1024;
+const CHUNK_LEN: usize = 16 * 1024;
 
 /// Fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -93,7 +93,7 @@
         ];
         for (name, value) in headers {
             if let Some(value) = value {
-                let value = value.to_string().parse().expect("digits and a point");
+                let value = value.to_string().parse().expect("numbers are valid header values");
                 res.headers_mut().insert(name, value);
             }
         }
@@ -123,7 +123,7 @@
     /// Factor by which `Fault::Slow` lengthens requests.
     factor: f64,
     /// When the fault was last set.
-    switched: std::time::Instant,
+    fault_set_at: std::time::Instant,
     counts: Counts,
     /// Number of runs of each request other than GET, by request id.
     runs: FxHashMap<String, u32>,
@@ -157,7 +157,7 @@
             fault: Fault::None,
             share: 1.0,
             factor: 1.0,
-            switched: std::time::Instant::now(),
+            fault_set_at: std::time::Instant::now(),
             counts: Counts::default(),
             runs: FxHashMap::default(),
             crashes: Vec::new(),
@@ -180,18 +180,18 @@
     }
 
     /// Serves on a listener forever. A crash closes the listener and all connections; the endpoint listens on the
-    /// same address again after `BACK_AFTER`.
+    /// same address again after `RESTART_DELAY`.
     pub async fn serve(self, mut listener: TcpListener) {
         loop {
-            let addr = listener.local_addr().expect("it is bound");
+            let addr = listener.local_addr().expect("the listener is bound");
             let it = self.clone();
             tokio::select! {
                 () = server::serve(listener, move |req| it.clone().handle(req)) => return,
                 () = self.crash.notified() => {}
             }
-            let held = server::hold(addr).expect("the address was this endpoint's");
-            tokio::time::sleep(BACK_AFTER).await;
-            listener = held.listen(BACKLOG).expect("the address is held");
+            let socket = server::reserve(addr).expect("the address was released by this endpoint");
+            tokio::time::sleep(RESTART_DELAY).await;
+            listener = socket.listen(LISTEN_BACKLOG).expect("the address is reserved");
         }
     }
 
@@ -223,7 +223,7 @@
         state.fault = fault;
         state.share = share;
         state.factor = factor;
-        state.switched = std::time::Instant::now();
+        state.fault_set_at = std::time::Instant::now();
         state.counts.since_fault = 0;
         state.counts.last_arrival_ms = 0;
         state.counts.arrivals_ms.clear();
@@ -247,7 +247,7 @@
             (_, "/_standin/counts") => Ok(json(&self.counts())),
             (_, "/_standin/runs") => Ok(json(&self.runs())),
             _ => {
-                let mut res = self.clone().work(req).await?;
+                let mut res = self.clone().handle_request(req).await?;
                 let advertised = self.state.lock().advertised;
                 advertised.add_to(&mut res);
                 Ok(res)
@@ -259,8 +259,8 @@
     /// zero.
     fn reported_load(&self) -> f64 {
         let used = self.profile.slots - self.slots.available_permits();
-        let lies = self.state.lock().fault == Fault::Slow;
-        if lies { 0.0 } else { used as f64 / self.profile.slots as f64 }
+        let underreports = self.state.lock().fault == Fault::Slow;
+        if underreports { 0.0 } else { used as f64 / self.profile.slots as f64 }
     }
 
     fn put_fault(&self, req: &Request<Incoming>) -> Answer {
@@ -274,23 +274,23 @@
         Ok(answer(StatusCode::OK, ""))
     }
 
-    async fn work(self, req: Request<Incoming>) -> Answer {
-        let fault = self.arrive();
+    async fn handle_request(self, req: Request<Incoming>) -> Answer {
+        let fault = self.record_arrival();
         let id = header(&req, "x-request-id");
-        let wanted = header(&req, "x-target-instance");
+        let target = header(&req, "x-target-instance");
         let received = [header(&req, "x-tenant"), header(&req, "x-api-key")];
-        if !wanted.is_empty() && *wanted != *self.name {
+        if !target.is_empty() && *target != *self.name {
             return Ok(answer(StatusCode::MISDIRECTED_REQUEST, "another endpoint is here\n"));
         }
         let is_repeatable = req.method() == Method::GET;
         if fault == Fault::LoseRequest {
-            return Err(std::io::Error::other("lost before it ran"));
+            return Err(std::io::Error::other("connection closed before the request ran"));
         }
         let slot = self.slots.clone().try_acquire_owned().ok().filter(|_| fault != Fault::Shed);
         let Some(slot) = slot else {
             // An answer before the end of the request would close the connection and could get lost.
             req.into_body().collect().await.map_err(std::io::Error::other)?;
-            return Ok(self.shed());
+            return Ok(self.rejection());
         };
         if fault == Fault::Stall {
             std::future::pending::<()>().await;
@@ -303,10 +303,12 @@
         let body = body.collect().await.map_err(std::io::Error::other)?.to_bytes();
         let factor = if fault == Fault::Slow { self.state.lock().factor } else { 1.0 };
         tokio::time::sleep(self.service_time().mul_f64(factor)).await;
-        self.run(&id, is_repeatable);
+        self.record_run(&id, is_repeatable);
         match fault {
             Fault::Late => tokio::time::sleep(Duration::from_secs(2)).await,
-            Fault::LoseAnswer => return Err(std::io::Error::other("ran, but the answer is lost")),
+            Fault::LoseAnswer => {
+                return Err(std::io::Error::other("connection closed instead of an answer"));
+            }
             _ => {}
         }
         let mut res = match download {
@@ -314,29 +316,31 @@
             None => self.short_answer(&id, &body, fault),
         };
         drop(slot);
-        let answered = if fault == Fault::Swap { "another-request".to_owned() } else { id };
-        res.headers_mut().insert("x-request-id", answered.parse().expect("came as a header"));
+        let answered_id = if fault == Fault::Swap { "another-request".to_owned() } else { id };
+        res.headers_mut()
+            .insert("x-request-id", answered_id.parse().expect("a received header value is valid"));
         for (name, value) in [ECHOED_ORGANISATION, ECHOED_KEY].into_iter().zip(received) {
-            res.headers_mut().insert(name, value.parse().expect("came as a header"));
+            res.headers_mut()
+                .insert(name, value.parse().expect("a received header value is valid"));
         }
         Ok(res)
     }
 
     /// Counts an arrival and returns the fault that affects the request.
-    fn arrive(&self) -> Fault {
+    fn record_arrival(&self) -> Fault {
         let mut state = self.state.lock();
-        let at = state.switched.elapsed().as_millis() as u64;
+        let at = state.fault_set_at.elapsed().as_millis() as u64;
         state.counts.since_fault += 1;
         state.arrivals.push(std::time::Instant::now());
         state.counts.last_arrival_ms = at;
         if state.fault != Fault::None {
             state.counts.arrivals_ms.push(at);
         }
-        let is_met = state.share >= 1.0 || rand::rng().random_bool(state.share);
-        if is_met { state.fault } else { Fault::None }
+        let is_affected = state.share >= 1.0 || rand::rng().random_bool(state.share);
+        if is_affected { state.fault } else { Fault::None }
     }
 
-    fn run(&self, id: &str, is_repeatable: bool) {
+    fn record_run(&self, id: &str, is_repeatable: bool) {
         let mut state = self.state.lock();
         state.counts.run += 1;
         if !is_repeatable {
@@ -344,10 +348,10 @@
         }
     }
 
-    fn shed(&self) -> Response<Body> {
+    fn rejection(&self) -> Response<Body> {
         self.state.lock().counts.shed += 1;
         let mut res = answer(StatusCode::SERVICE_UNAVAILABLE, "full\n");
-        res.headers_mut().insert("x-not-executed", "1".parse().expect("a digit"));
+        res.headers_mut().insert("x-not-executed", "1".parse().expect("a valid header value"));
         res
     }
 
@@ -368,7 +372,7 @@
         match fault {
             Fault::StallBody | Fault::CutBody => {
                 let half = Bytes::from(text.clone()).slice(..text.len() / 2);
-                let mut res = Response::new(broken(half, fault));
+                let mut res = Response::new(truncated_body(half, fault));
                 res.headers_mut().insert("content-length", text.len().into());
                 res
             }
@@ -385,15 +389,15 @@
             .unwrap_or(0);
         let pause = Duration::from_micros(self.profile.piece_us);
         let (tx, rx) = mpsc::channel(1);
-        tokio::spawn(send_pieces(tx, start, total, fault, pause));
+        tokio::spawn(send_chunks(tx, start, total, fault, pause));
         let mut res = Response::new(BodyExt::boxed(StreamBody::new(ReceiverStream::new(rx))));
         if start > 0 {
             *res.status_mut() = StatusCode::PARTIAL_CONTENT;
             let range = format!("bytes {start}-{}/{total}", total - 1);
-            res.headers_mut().insert("content-range", range.parse().expect("digits"));
+            res.headers_mut().insert("content-range", range.parse().expect("a valid header value"));
         }
-        res.headers_mut().insert("etag", etag.parse().expect("digits"));
-        res.headers_mut().insert("accept-ranges", "bytes".parse().expect("a word"));
+        res.headers_mut().insert("etag", etag.parse().expect("a valid header value"));
+        res.headers_mut().insert("accept-ranges", "bytes".parse().expect("a valid header value"));
         res.headers_mut().insert("content-length", (total - start).into());
         res
     }
@@ -404,7 +408,7 @@
     (start..end).map(|i| (i % 251) as u8).collect::<Vec<u8>>().into()
 }
 
-async fn send_pieces(
+async fn send_chunks(
     tx: mpsc::Sender<Result<Frame<Bytes>, std::io::Error>>,
     start: usize,
     total: usize,
@@ -417,13 +421,13 @@
             match fault {
                 Fault::StallBody => std::future::pending().await,
                 Fault::CutBody => {
-                    let _ = tx.send(Err(std::io::Error::other("cut"))).await;
+                    let _ = tx.send(Err(std::io::Error::other("body cut short"))).await;
                     return;
                 }
                 _ => {}
             }
         }
-        let end = (at + PIECE).min(total);
+        let end = (at + CHUNK_LEN).min(total);
         if tx.send(Ok(Frame::data(download_bytes(at, end)))).await.is_err() {
             return;
         }
@@ -435,12 +439,12 @@
 }
 
 /// Creates a body that stops after its first part.
-fn broken(first: Bytes, fault: Fault) -> Body {
+fn truncated_body(first: Bytes, fault: Fault) -> Body {
     let (tx, rx) = mpsc::channel(2);
     tokio::spawn(async move {
         let _ = tx.send(Ok(Frame::data(first))).await;
         if fault == Fault::CutBody {
-            let _ = tx.send(Err(std::io::Error::other("cut"))).await;
+            let _ = tx.send(Err(std::io::Error::other("body cut short"))).await;
             return;
         }
         tx.closed().await;
