--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask try`: the main job, seen working on one machine.
+//! `cargo xtask try`: demonstrates the main features with processes on one machine.
 
 mod organisations;
 
@@ -16,22 +16,22 @@
 
 use crate::ci::root;
 
-/// Nodes that are started.
+/// Number of nodes.
 const NODES: usize = 3;
-/// Failure domains of the example.
+/// Failure domains over which the nodes are spread.
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
-/// Lookups a second.
+/// Lookups per second.
 const LOOKUPS: f64 = 400.0;
-/// Bookings a second.
+/// Bookings per second.
 const BOOKINGS: f64 = 100.0;
-/// Length of the download that a planned stop must not cut.
+/// Length of the download that a planned stop must not interrupt, in bytes.
 const DOWNLOAD_BYTES: usize = 4_000_000;
-/// Pause between pieces of a download in microseconds, so that it takes a second or two.
+/// Pause between chunks of the download in microseconds, which makes the download take one to two seconds.
 const PIECE_US: &str = "5000";
-/// Time to start.
+/// Limit for the start of a node.
 const START: Duration = Duration::from_secs(20);
 
-/// A child process that ends with this one.
+/// A child process that is killed on drop.
 struct Running(Child);
 
 impl Drop for Running {
@@ -41,13 +41,13 @@
     }
 }
 
-/// Builds and runs the demonstration.
+/// Builds the programs and runs the demonstration.
 pub fn run() -> anyhow::Result<()> {
     let bin = build()?;
     tokio::runtime::Runtime::new()?.block_on(demonstrate(&bin))
 }
 
-/// Builds the programs in release mode and returns where they are.
+/// Builds the programs in release mode and returns their directory.
 pub fn build() -> anyhow::Result<PathBuf> {
     let sh = Shell::new()?;
     sh.change_dir(root());
@@ -60,7 +60,7 @@
     let dir = tempfile::tempdir()?;
     let mut resources = example()?;
     let endpoints = endpoints(&mut resources).count();
-    // One list, so that no two programs get the same port.
+    // A single search guarantees that no two programs get the same port.
     let mut free = node::free_addrs(1 + 3 * NODES + endpoints)?;
     let platform = free.pop().context("one address for the platform")?;
     let addrs = node::nodes_at(&free.split_off(endpoints), &DOMAINS);
@@ -84,13 +84,15 @@
 
     let sick = endpoint_of(&resources, "slot-availability");
     client::call(sick, "PUT", "/_standin/fault?kind=stall", "").await?;
-    println!("\n{sick} now answers probes but stalls all work.");
+    println!("\n{sick} now answers probes but stalls all requests.");
     let stalled = lookups_and_bookings(&targets, 4.0).await;
     print("One endpoint stalls", &stalled);
     let counts = client::get(sick, "/_standin/counts").await?;
     let counts: standin::upstream::Counts = serde_json::from_slice(&counts.body)?;
     let early = counts.arrivals_ms.iter().take_while(|it| **it < 2_000).count();
-    println!("  the sick endpoint met {early} requests, trials included, in its first two seconds");
+    println!(
+        "  the stalled endpoint received {early} requests, including trials, in the first two seconds"
+    );
     print_endpoints(&nodes[0]).await?;
 
     client::call(sick, "PUT", "/_standin/fault?kind=none", "").await?;
@@ -98,7 +100,7 @@
     stop_during_download(&mut nodes).await
 }
 
-/// A planned stop of the last node while it passes on a download.
+/// Stops the last node as planned while it forwards a download.
 async fn stop_during_download(nodes: &mut [Node]) -> anyhow::Result<()> {
     println!("\nPlanned stop of one node during a download of {DOWNLOAD_BYTES} bytes:");
     let node = nodes.last_mut().context("the demonstration runs several nodes")?;
@@ -116,7 +118,7 @@
     Ok(())
 }
 
-/// Sends lookups and bookings at the same time.
+/// Sends lookups and bookings concurrently.
 async fn lookups_and_bookings(targets: &[SocketAddr], seconds: f64) -> [Summary; 2] {
     let plan = |rate, method: &str, path: &str| Plan {
         targets: targets.to_vec(),
@@ -165,7 +167,7 @@
     Ok(serde_json::from_slice(&text)?)
 }
 
-/// Every endpoint with the slots of its service.
+/// Returns each endpoint with the slots of its service.
 fn endpoints(resources: &mut [Resource]) -> impl Iterator<Item = (&mut Endpoint, u32)> {
     let services = resources.iter_mut().filter_map(|it| match it {
         Resource::Service(it) => Some(it),
@@ -174,7 +176,7 @@
     services.flat_map(|it| it.endpoints.iter_mut().map(|endpoint| (endpoint, it.slots)))
 }
 
-/// Moves the endpoints of the example to free ports and starts them.
+/// Assigns free addresses to the endpoints of the example and starts their stand-ins.
 fn start_upstreams(
     bin: &Path,
     resources: &mut [Resource],
