--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -1,4 +1,4 @@
-//! Keys and allowances: who is let in, and how much one organisation may ask of the whole fleet.
+//! Demonstrates API keys and the allowances of organisations, which hold over the whole fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,21 +9,24 @@
 use standin::platform::KeyedOrganisation;
 use tokio::time::{Instant, sleep};
 
-/// The header of a caller with a key, and the key of an organisation without a limit.
+/// Header with the API key of an organisation without a limit.
 pub(super) const VALID_KEY: (&str, &str) = ("x-api-key", "key-of-tours");
+/// API key of the organisation with a limit, the bakery.
 const LIMITED_KEY: &str = "key-of-bakery";
-/// Requests a second that the bakery may make, and beyond that at once.
+/// Requests per second that the bakery may make.
 const RATE: f64 = 20.0;
+/// Burst of requests that the bakery may make beyond the rate.
 const BURST: f64 = 10.0;
-/// Requests that it makes.
+/// Number of requests that the bakery makes.
 const REQUESTS: usize = 300;
-/// Pause between them.
+/// Pause between requests of the bakery.
 const PAUSE: Duration = Duration::from_millis(8);
-/// Time for a configuration to be in force, and for buckets to fill.
+/// Limit for the configuration with keys to be in force.
 const IN_FORCE: Duration = Duration::from_secs(10);
+/// Time in which the buckets fill.
 const FILLS: Duration = Duration::from_secs(2);
 
-/// Publishes organisations with keys and sends requests with and without them.
+/// Publishes organisations with keys and sends requests with valid, invalid and missing keys.
 pub(super) async fn demonstrate(
     platform: SocketAddr,
     resources: &[Resource],
@@ -69,10 +72,13 @@
     let seconds = since.elapsed().as_secs_f64();
     println!(
         "  the bakery sent {REQUESTS} requests over all nodes in {seconds:.1} s: {served} answered, \
-         {refused} refused with 429, the last to come back after {retry_after} s"
+        {refused} refused with 429, the last with retry-after {retry_after} s"
+    );
+    println!("  the unlimited organisation meanwhile: {neighbour} of {REQUESTS} answered");
+    anyhow::ensure!(
+        refused > 0 && neighbour as usize == REQUESTS,
+        "the allowance was not enforced correctly"
     );
-    println!("  the tours beside it: {neighbour} of {REQUESTS} answered");
-    anyhow::ensure!(refused > 0 && neighbour as usize == REQUESTS, "the allowance did not hold");
     Ok(())
 }
 
