--- a/xtask/src/faults.rs
+++ b/xtask/src/faults.rs
@@ -1,7 +1,7 @@
-//! `cargo xtask faults`: every fault at every step of a request and of a change of configuration.
+//! `cargo xtask faults`: injects every fault at every step of a request and of a configuration change.
 //!
-//! A cell starts real nodes before stand-ins, brings the work to the step, induces the fault, waits
-//! for every answer and then checks what must always hold. The table goes into docs/PROOFS.md.
+//! Each cell of the fault matrix starts node processes against stand-ins, brings requests to the step, injects the
+//! fault, waits for all answers and checks the invariants. The matrix is written into docs/PROOFS.md.
 
 mod cell;
 
@@ -15,7 +15,7 @@
 const BEGIN: &str = "<!-- fault matrix: written by `cargo xtask faults` -->";
 const END: &str = "<!-- end of the fault matrix -->";
 
-/// Runs all cells and writes the table. An error says that a cell has failed.
+/// Runs all cells and writes the table. Fails if an invariant was violated in a cell.
 pub fn run() -> anyhow::Result<()> {
     let bin = build()?.join("dappleway");
     let runtime = tokio::runtime::Runtime::new()?;
@@ -42,8 +42,8 @@
 fn write_table(table: &str) -> anyhow::Result<()> {
     let path = root().join(PROOFS);
     let text = std::fs::read_to_string(&path)?;
-    let (before, rest) = text.split_once(BEGIN).context("docs/PROOFS.md lacks the first mark")?;
-    let (_, after) = rest.split_once(END).context("docs/PROOFS.md lacks the last mark")?;
+    let (before, rest) = text.split_once(BEGIN).context("docs/PROOFS.md lacks the begin marker")?;
+    let (_, after) = rest.split_once(END).context("docs/PROOFS.md lacks the end marker")?;
     std::fs::write(&path, format!("{before}{BEGIN}\n\n{table}\n{END}{after}"))?;
     Ok(())
 }
