--- a/xtask/src/faults/cell.rs
+++ b/xtask/src/faults/cell.rs
@@ -1,4 +1,4 @@
-//! One cell of the fault matrix.
+//! A cell of the fault matrix: one fault at one step.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use standin::upstream::{Fault as Gray, Profile, download_bytes};
 use tokio::task::JoinHandle;
 
-/// Length of a download: longer than what is held before the caller gets any of it.
+/// Length of a download in bytes, larger than the part that a node buffers before it sends any of it to the caller.
 const BYTES: usize = 2_400_000;
-/// Time from the start of the work to the fault.
+/// Time from the first request to the fault.
 const BEFORE: Duration = Duration::from_millis(250);
-/// Time for which work arrives.
+/// Time for which requests are sent, in seconds.
 const SECONDS: f64 = 1.0;
-/// How long a frozen node sleeps.
+/// Duration of a freeze.
 const FREEZE: Duration = Duration::from_millis(800);
 
-/// What breaks.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     Kill,
@@ -36,7 +36,7 @@
     FreezeAndLoseAnswers,
 }
 
-/// A fault and its name.
+/// A fault with its name in the table.
 pub struct Fault {
     pub name: &'static str,
     kind: Kind,
@@ -46,6 +46,7 @@
     Fault { name, kind }
 }
 
+/// Rows of the fault matrix.
 pub const FAULTS: [Fault; 18] = [
     fault("node killed", Kind::Kill),
     fault("node frozen, then awake", Kind::Freeze),
@@ -67,14 +68,15 @@
     fault("node frozen and upstream loses answers", Kind::FreezeAndLoseAnswers),
 ];
 
-/// Where the work is when the fault comes.
+/// Step of a request or configuration change at which faults are injected.
 pub struct Step {
     pub name: &'static str,
-    /// Slots of an endpoint and its service time: few and long make requests queue.
+    /// Slots of each endpoint. Few slots and a long service time make requests queue.
     slots: usize,
     service_us: u64,
 }
 
+/// Columns of the fault matrix.
 pub const STEPS: [Step; 4] = [
     Step { name: "accepted, queued", slots: 1, service_us: 120_000 },
     Step { name: "sent, running", slots: 8, service_us: 150_000 },
@@ -82,7 +84,7 @@
     Step { name: "configuration published", slots: 4, service_us: 5_000 },
 ];
 
-/// Runs a cell and returns what did not hold.
+/// Runs a cell and returns descriptions of the violated invariants.
 pub async fn run_cell(bin: &Path, fault: &Fault, step: &Step) -> anyhow::Result<Vec<String>> {
     let profile = Profile {
         slots: step.slots,
@@ -121,7 +123,7 @@
     tokio::spawn(caller::run(plan))
 }
 
-/// Bodies of downloads through every node; an error is a visible break.
+/// Downloads through every node and returns the bodies, or `None` for a download that visibly failed.
 fn download_all(bed: &Bed) -> JoinHandle<Vec<Option<bytes::Bytes>>> {
     let targets: Vec<_> = bed.nodes.iter().map(|it| it.addrs.traffic).collect();
     tokio::spawn(async move {
@@ -136,7 +138,7 @@
     })
 }
 
-/// Induces the fault; returns the newest version that was published on the way.
+/// Injects the fault; returns the newest version that the fault published, or 0.
 async fn induce(bed: &mut Bed, kind: Kind) -> anyhow::Result<u64> {
     let sick = bed.upstreams[0].clone();
     match kind {
@@ -156,7 +158,7 @@
             }
         }
         Kind::ReplaceWhileStale => {
-            // What is published first is in force before memory is lost.
+            // The version must be in force before the node loses its state.
             let version = bed.platform.publish(&bed.resources);
             bed.wait_in_force(version).await?;
             bed.platform.set_fault(platform::Fault::Stale);
@@ -216,9 +218,9 @@
     let whole = got.iter().flatten().filter(|it| **it == download_bytes(0, BYTES)).count();
     let arrived = got.iter().flatten().count();
     if whole != arrived {
-        broken.push("a download that looked whole was not".to_owned());
+        broken.push("a download that appeared complete was not".to_owned());
     }
-    // A node that dies, also to be replaced, visibly breaks off the download through it.
+    // A node that is killed or replaced visibly interrupts the download through it.
     let may_lose = match kind {
         Kind::Kill | Kind::KillAndStall | Kind::ReplaceWhileStale => 1,
         _ => 0,
@@ -237,7 +239,8 @@
     all
 }
 
-/// What was in force stays so, and what the platform still serves comes into force.
+/// Checks that no node goes back to an older version, and that the newest version comes into force everywhere if the
+/// platform serves it.
 async fn check_configuration(
     bed: &Bed,
     kind: Kind,
@@ -282,7 +285,7 @@
     }
 }
 
-/// A planned stop ends by itself, and well.
+/// Checks that a planned stop ends within ten seconds with exit code 0.
 async fn check_exit(bed: &mut Bed, kind: Kind, broken: &mut Vec<String>) -> anyhow::Result<()> {
     if kind != Kind::Stop {
         return Ok(());
