--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Automation of the project: `cargo xtask try`, `ci`, `faults`, `measure`, `soak`, `plot`.
+//! Project automation: `cargo xtask try`, `ci`, `faults`, `measure`, `soak` and `plot`.
 
 mod ci;
 mod demo;
@@ -18,23 +18,23 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Starts stand-ins and nodes as processes, sends requests through them and prints a report.
+    /// Starts stand-ins and nodes as processes, sends requests through the nodes and prints a report.
     Try,
-    /// Checks formatting, runs the linter and all tests.
+    /// Checks formatting and runs the linter and all tests.
     Ci,
-    /// Induces every fault at every step and writes the table into docs/PROOFS.md.
+    /// Injects every fault at every step of a request and writes the results into docs/PROOFS.md.
     Faults,
-    /// Measures real processes before stand-ins; writes figures under docs/measurements.
+    /// Measures node processes against stand-ins and writes the figures into docs/measurements.
     Measure {
         /// What to measure.
         what: measure::What,
-        /// Only this way of dispatch, or this part of the slopes.
+        /// Restricts the measurement to this dispatch mode, or to this group of figures of `slopes`.
         #[arg(long)]
         only: Option<String>,
     },
-    /// Plays faults by seeds at many processes on loopback and checks what callers and endpoints see.
+    /// Runs node processes on loopback under random faults and checks what callers and endpoints observe.
     Soak(soak::Args),
-    /// Draws the worth of a site's played days by version, from the journal.
+    /// Plots the worth of a site's days by version, from the journal.
     Plot {
         /// Name of the site.
         site: String,
