--- a/xtask/src/measure.rs
+++ b/xtask/src/measure.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask measure`: figures of real processes before stand-ins, written as JSON under
-//! docs/measurements. Nothing here passes or fails; it only measures.
+//! `cargo xtask measure`: measures node processes against stand-ins and writes the figures as JSON into
+//! docs/measurements. Measurements have no pass or fail criteria.
 
 mod detect;
 mod dispatch;
@@ -19,19 +19,19 @@
 /// What to measure.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum What {
-    /// Latency that one node adds, requests a second, memory of idle connections.
+    /// Latency that one node adds, requests per second, and memory of idle connections.
     Path,
-    /// First sends that meet a full endpoint, by way of dispatch and use.
+    /// First sends that arrive at an endpoint without a free slot, by dispatch mode and utilization.
     Dispatch,
-    /// Detection of each fault, by way of dispatch.
+    /// Time to detect each fault, by dispatch mode.
     Detect,
-    /// Loss of a dispatching node under load.
+    /// Effects of the loss of a dispatching node under load.
     Loss,
-    /// Cost of control by number of nodes, endpoints, services, routes and organisations.
+    /// Control plane cost by number of nodes, endpoints, services, routes and organisations.
     Slopes,
 }
 
-/// Builds the programs and measures.
+/// Builds the programs and runs a measurement.
 pub fn run(what: What, only: Option<&str>) -> anyhow::Result<()> {
     let bin = build()?.join("dappleway");
     let runtime = tokio::runtime::Runtime::new()?;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Writes figures to docs/measurements.
+/// Writes figures as JSON into docs/measurements.
 fn write(name: &str, figures: &impl Serialize) -> anyhow::Result<()> {
     let dir: PathBuf = root().join("docs/measurements");
     std::fs::create_dir_all(&dir)?;
