--- a/xtask/src/measure/detect.rs
+++ b/xtask/src/measure/detect.rs
@@ -1,5 +1,5 @@
-//! Detection of each fault by each way of dispatch: the time from the fault to the last new work at
-//! the sick endpoint, what it cost, and who was ejected wrongly.
+//! Measures the detection of each fault in each dispatch mode: the time from the fault to the last new request at the
+//! faulty endpoint, the failed requests, and the wrong ejections.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use standin::caller;
 use standin::upstream::{Fault, Upstream};
 
-/// Time that a fault lasts.
+/// Duration of a fault.
 const FAULT: Duration = Duration::from_millis(4_500);
-/// Time for the endpoint to come back.
+/// Pause before each fault, in which the previous endpoint recovers.
 const REST: Duration = Duration::from_millis(4_000);
-/// Work that arrives after a pause of this length is a trial. An ejection lasts two seconds or more.
+/// A request that arrives after a gap of this length is a trial: an ejection lasts two seconds or more.
 const GAP_MS: u64 = 1_500;
-/// Share of the slots in use.
+/// Utilization of the slots.
 const USED: f64 = 0.5;
 
-/// The faults, each with the share of requests that meet it and its factor.
+/// The faults, each with the share of requests that it affects and its slowdown factor.
 const FAULTS: [(&str, Fault, f64, f64); 5] = [
     ("full stall", Fault::Stall, 1.0, 1.0),
     ("stall of 3 in 10", Fault::Stall, 0.3, 1.0),
@@ -32,30 +32,31 @@
     mode: &'static str,
     fault: &'static str,
     trials: usize,
-    /// Milliseconds from the fault to the last new work, for each trial; absent if work went on.
+    /// Milliseconds from the fault to the last new request, for each run; absent if new requests kept arriving.
     detection_ms: Vec<Option<u64>>,
     median_ms: Option<u64>,
     worst_ms: Option<u64>,
-    /// Requests that arrived at the sick endpoint in a fault, trials included, on average.
+    /// Mean number of requests that arrived at the faulty endpoint during a fault, including trial requests.
     arrivals: f64,
     sent: u64,
     answered: u64,
     failed: u64,
-    /// p50, p99, p99.9 and worst of lookups.
+    /// p50, p99, p99.9 and maximum of the lookups.
     latency_us: [u64; 4],
-    /// Ejections of endpoints that were well.
+    /// Ejections of healthy endpoints.
     false_ejections: usize,
 }
 
-/// Ways of dispatch, the design first.
+/// Dispatch modes, starting with the default.
 const MODES: [&str; 5] = ["permits", "direct", "local", "consecutive", "round-robin"];
-/// Trials of each fault.
+/// Number of times that each fault is injected.
 const TRIALS: usize = 3;
 
+/// Measures all dispatch modes, or only the given one, and writes a file for each.
 pub async fn run(bin: &Path, only: Option<&str>) -> anyhow::Result<()> {
     for mode in MODES.iter().filter(|it| only.is_none_or(|only| only == **it)) {
         let layout = Layout::agenda(mode);
-        // Round robin ejects nobody, so one fault shows what that means.
+        // Round robin ejects no endpoint, so one fault suffices as a baseline.
         let faults = if *mode == "round-robin" { &FAULTS[..1] } else { &FAULTS[..] };
         let mut figures = Vec::new();
         for fault in faults.iter().copied() {
@@ -65,7 +66,7 @@
             println!("{it:?}");
             figures.push(it);
         }
-        // A long measurement that is cut off keeps what it has.
+        // Writing after each mode keeps the figures of completed modes if the measurement is interrupted.
         super::write(&format!("detect-{mode}"), &figures)?;
     }
     Ok(())
@@ -83,7 +84,7 @@
     let mut arrivals = 0;
     let mut sick = Vec::new();
     for trial in 0..trials {
-        // Another endpoint each time, so that earlier ejections do not lengthen later ones.
+        // Faults alternate between endpoints, as repeated ejections of the same endpoint would last longer.
         let upstream: &Upstream = &bed.upstreams[trial * 4 % bed.upstreams.len()];
         sick.push(upstream.name().to_owned());
         tokio::time::sleep(REST).await;
@@ -115,7 +116,7 @@
     })
 }
 
-/// The last arrival before work paused, or nothing if it never did.
+/// Returns the last arrival before the first gap, or `None` if there was no gap.
 fn last_work(arrivals_ms: &[u64]) -> Option<u64> {
     let end = FAULT.as_millis() as u64;
     let mut last = 0;
