--- a/xtask/src/measure/dispatch.rs
+++ b/xtask/src/measure/dispatch.rs
@@ -1,4 +1,4 @@
-//! Ways of dispatch side by side: first sends that meet a full endpoint, latency, messages.
+//! Compares the dispatch modes: first sends that arrive at an endpoint without a free slot, latency and messages.
 
 use std::path::Path;
 
@@ -6,6 +6,7 @@
 use standin::bed::{Bed, Layout};
 use standin::caller;
 
+/// Time for which each measurement sends requests, in seconds.
 const SECONDS: f64 = 8.0;
 
 #[derive(Debug, Serialize)]
@@ -15,23 +16,24 @@
     sent: u64,
     answered: u64,
     not_run: u64,
-    /// First sends that met a full endpoint.
+    /// Share of first sends that arrived at an endpoint without a free slot.
     first_shed_share: f64,
-    /// p50, p99, p99.9 and worst.
+    /// p50, p99, p99.9 and maximum.
     latency_us: [u64; 4],
     hedges: f64,
-    /// Frames and bytes about slots for each request, both ways, all nodes.
+    /// Frames and bytes of the permit protocol per request, over all nodes and both directions.
     permit_frames_per_request: f64,
     permit_bytes_per_request: f64,
-    /// Bytes a second of the exchange per node, both ways.
+    /// Bytes per second of the exchange per node, in both directions.
     control_bytes_per_node_second: f64,
     direct_slots: f64,
     ejections: usize,
 }
 
-/// Ways of dispatch, the design last.
+/// Dispatch modes, ending with the default.
 const MODES: [&str; 3] = ["round-robin", "direct", "permits"];
 
+/// Measures all dispatch modes, or only the given one, and writes the figures.
 pub async fn run(bin: &Path, only: Option<&str>) -> anyhow::Result<()> {
     let mut all = Vec::new();
     for mode in MODES.iter().filter(|it| only.is_none_or(|only| only == **it)) {
@@ -65,7 +67,7 @@
         first_shed_share: shed / sent,
         latency_us: summary.latency_us,
         hedges: bed.metric("dappleway_hedges_total").await? - hedges,
-        // Each frame is counted where it is sent and where it is received.
+        // Each frame is counted by both its sender and its receiver.
         permit_frames_per_request: (after[0] - before[0]) / 2.0 / sent,
         permit_bytes_per_request: (after[1] - before[1]) / 2.0 / sent,
         control_bytes_per_node_second: (after[2] - before[2]) / SECONDS / layout.nodes as f64,
@@ -74,7 +76,8 @@
     })
 }
 
-/// Frames and bytes about slots, bytes of the exchange, and slots picked without a dispatcher.
+/// Returns the sums over all nodes of permit frames, permit bytes, exchange bytes, and slots chosen without a
+/// dispatcher.
 async fn totals(bed: &Bed) -> anyhow::Result<[f64; 4]> {
     let mut sums = [0.0; 4];
     for it in &bed.nodes {
