--- a/xtask/src/measure/loss.rs
+++ b/xtask/src/measure/loss.rs
@@ -1,4 +1,5 @@
-//! What the loss of a dispatching node costs: it is killed, frozen, or cut one way under load.
+//! Measures the effects of losing a dispatching node under load: the node is killed, frozen, or cut off in one
+//! direction.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,8 +8,11 @@
 use standin::bed::{Bed, Layout};
 use standin::caller;
 
+/// Time for which each measurement sends requests, in seconds.
 const SECONDS: f64 = 8.0;
+/// Utilization of the slots.
 const USED: f64 = 0.5;
+/// Time from the start of the load to the loss.
 const BEFORE: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Serialize)]
@@ -18,14 +22,15 @@
     answered: u64,
     not_run: u64,
     unknown: u64,
-    /// p50, p99, p99.9 and worst.
+    /// p50, p99, p99.9 and maximum.
     latency_us: [u64; 4],
     first_sends_shed: f64,
-    /// Slots that nodes picked for themselves.
+    /// Slots that nodes chose without a dispatcher.
     direct_slots: f64,
     ejections: usize,
 }
 
+/// Measures each kind of loss and writes the figures.
 pub async fn run(bin: &Path) -> anyhow::Result<()> {
     let mut all = Vec::new();
     for loss in ["none", "killed", "frozen for 3 s", "cannot answer", "cannot be reached"] {
@@ -42,7 +47,8 @@
     caller::run(bed.lookups(layout.rate(0.4), 4.0)).await;
     let lost = dispatching_node(&bed).await?;
     let mut plan = bed.lookups(layout.rate(USED), SECONDS);
-    // The balancer has noticed: the question is what the others lose.
+    // The lost node gets no requests, as after a failed health check of the load balancer: the measurement covers
+    // only the effects on the other nodes.
     plan.targets.remove(lost);
     let shed = first_sends_shed(&bed, lost).await?;
     let direct = direct_slots(&bed).await;
@@ -63,7 +69,7 @@
     })
 }
 
-/// A node that hands out slots.
+/// Finds a node that dispatches for a healthy endpoint.
 async fn dispatching_node(bed: &Bed) -> anyhow::Result<usize> {
     for (i, it) in bed.nodes.iter().enumerate() {
         let report = it.report().await?;
@@ -97,7 +103,7 @@
     Ok(())
 }
 
-/// Over all nodes but the one that is lost.
+/// Sums the metric over all nodes except the lost one.
 async fn first_sends_shed(bed: &Bed, lost: usize) -> anyhow::Result<f64> {
     let mut sum = 0.0;
     for (i, it) in bed.nodes.iter().enumerate() {
