--- a/xtask/src/measure/path.rs
+++ b/xtask/src/measure/path.rs
@@ -1,4 +1,4 @@
-//! What one node adds to a request, how many it carries, and what idle connections cost.
+//! Measures the latency that one node adds to a request, its throughput, and the memory of idle connections.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,29 +9,32 @@
 use standin::upstream::Profile;
 use tokio::net::TcpStream;
 
-/// Requests a second for the comparison of latencies.
+/// Requests per second in the comparison of latencies.
 const RATE: f64 = 7_000.0;
-/// Requests a second that no node here carries.
+/// Requests per second beyond the capacity of a node.
 const FLOOD: f64 = 14_000.0;
+/// Time for which latencies are compared, in seconds.
 const SECONDS: f64 = 8.0;
+/// Number of idle connections.
 const IDLE: usize = 1_000;
 
 #[derive(Debug, Serialize)]
 struct Figures {
     rate: f64,
-    /// p50, p99, p99.9 and worst.
+    /// p50, p99, p99.9 and maximum without a node; the next field has them through a node.
     straight_us: [u64; 4],
     through_us: [u64; 4],
     added_us: [i64; 3],
-    /// Whole answers a second when far more is offered.
+    /// Complete answers per second under overload.
     flooded_answers_per_second: f64,
-    /// Processor seconds of the node for 1,000 answers.
+    /// CPU seconds of the node per 1,000 answers.
     node_cpu_s_per_1000: f64,
     answers_per_core_second: f64,
     idle_connections: usize,
     idle_mb: f64,
 }
 
+/// Runs the measurement and writes the figures.
 pub async fn run(bin: &Path) -> anyhow::Result<()> {
     let profile = Profile { slots: 512, service_us: 0, heavy_tail: false, cold_ms: 0, piece_us: 0 };
     let layout = Layout { nodes: 1, endpoints: 4, profile, ..Layout::agenda("permits") };
