--- a/xtask/src/measure/slopes.rs
+++ b/xtask/src/measure/slopes.rs
@@ -1,5 +1,5 @@
-//! What control costs as the system grows: nodes as processes up to 80, the exchange alone up to
-//! 850 nodes, one node with a configuration up to the size designed for.
+//! Measures how the cost of the control plane grows: up to 80 nodes as processes, up to 850 nodes for the simulated
+//! exchange alone, and one node with configurations up to the size that the system is designed for.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,17 +10,18 @@
 use standin::caller;
 use standin::net::Net;
 
+/// Time without traffic over which costs are measured.
 const IDLE: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Serialize)]
 struct Processes {
     nodes: usize,
-    /// Share of one core that control takes at one node without traffic.
+    /// Share of one core that a node uses without traffic.
     core_share: f64,
     memory_mb: f64,
     control_bytes_per_second: f64,
     platform_calls_per_second: f64,
-    /// Milliseconds from a publication to the last node that has it in force.
+    /// Milliseconds from publishing a version until all nodes have it in force, for each version.
     in_force_ms: Vec<u64>,
 }
 
@@ -28,12 +29,11 @@
 struct Exchange {
     nodes: usize,
     control_bytes_per_second: f64,
-    /// Processor time for one node's exchange, as a share of one core.
+    /// CPU time of one node's exchange, as a share of one core.
     core_share: f64,
-    /// Virtual milliseconds from the publication to the last node that has it in force, fetches not
-    /// counted.
+    /// Virtual milliseconds from publishing a version until all nodes have it in force, without the time of fetches.
     in_force_ms: u64,
-    /// Virtual milliseconds until a restarted node is ready with what peers tell it alone.
+    /// Virtual milliseconds until a restarted node has the configuration from its peers alone.
     ready_ms: u64,
 }
 
@@ -45,20 +45,20 @@
     organisations: usize,
     memory_mb: f64,
     core_share: f64,
-    /// Milliseconds from the publication to in force at one node.
+    /// Milliseconds from publishing until the node has the configuration in force.
     in_force_ms: u64,
 }
 
 #[derive(Debug, Serialize)]
 struct Traffic {
     requests_per_second: f64,
-    /// Processor microseconds for one request, at all nodes together.
+    /// CPU microseconds per request, over all nodes.
     core_us_per_request: f64,
     control_bytes_per_node_second: f64,
     permit_bytes_per_request: f64,
 }
 
-/// Measures all parts, or only the one named; each writes a file of its own.
+/// Measures all groups of figures, or only the given one, and writes a file for each.
 pub async fn run(bin: &Path, only: Option<&str>) -> anyhow::Result<()> {
     let is_wanted = |part: &str| only.is_none_or(|only| only == part);
     if is_wanted("configuration") {
@@ -101,7 +101,7 @@
     let cpu = since.elapsed().as_secs_f64();
     let bytes = net.control_bytes as f64;
     let published = net.now;
-    // Those whose duty it is see it within one wait of their watch.
+    // The elected readers get the new version within one watch.
     while net.in_force().iter().any(|it| *it < 2) {
         net.run_with_platform(Duration::from_millis(50), 2);
     }
@@ -154,7 +154,7 @@
     Ok(sum)
 }
 
-/// One node with a part of the documents at the size designed for.
+/// Measures one node with this fraction of the configuration that the system is designed for.
 async fn configuration(bin: &Path, part: f64) -> anyhow::Result<Configuration> {
     let bed = Bed::start(bin, &Layout { nodes: 1, ..Layout::agenda("permits") }).await?;
     let count = |full: usize| ((full as f64 * part) as usize).max(1);
@@ -188,7 +188,7 @@
     let per_service = endpoints.div_ceil(services);
     let endpoint = |service: usize, i: usize| Endpoint {
         id: format!("i-{service}-{i}").into(),
-        // Loopback addresses: nothing is ever sent to them.
+        // Loopback addresses to which no request is sent.
         addr: ([127, 10 + (service / 250) as u8, (service % 250) as u8, i as u8], 8080).into(),
         failure_domain: format!("d{}", i % 6).as_str().into(),
         slots: 0,
