--- a/xtask/src/plot.rs
+++ b/xtask/src/plot.rs
@@ -1,5 +1,5 @@
-//! Draws the worth of played days by version, from the entries in `journal/`, and writes the table that
-//! explains the drawing.
+//! `cargo xtask plot`: plots the worth of a site's days by version from the entries in `journal/`, and prints the
+//! table of versions that belongs to the plot.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,14 +9,14 @@
 use plotters::prelude::*;
 use serde::Deserialize;
 
-/// Versions with fewer days are left out: a mean over them says little.
+/// Minimum number of days of a version: a mean over fewer days is too uncertain.
 const MIN_DAYS: usize = 24;
-/// Beginnings of the reasons of runs that are no versions: trials on scratch copies, mechanisms switched off,
-/// and days read for their logs.
+/// Prefixes of the reasons of runs that do not measure a version: trials on scratch copies, runs with a mechanism
+/// switched off, and runs made for their logs.
 const LEFT_OUT: [&str; 4] = ["trial", "ablation", "reading", "days of our own"];
-/// Size of the drawing in pixels.
+/// Size of the plot in pixels.
 const SIZE: (u32, u32) = (960, 480);
-/// Names of the parts of a day's worth in the entries, and their colours.
+/// Names of the components of a day's worth in the journal, and their colours in the plot.
 const PARTS: [(&str, RGBColor); 4] = [
     ("whole day", RGBColor(31, 119, 180)),
     ("worst windows", RGBColor(214, 39, 40)),
@@ -24,7 +24,7 @@
     ("nines", RGBColor(148, 103, 189)),
 ];
 
-/// What is read of an entry.
+/// Fields of a journal entry that the plot uses.
 #[derive(Debug, Deserialize)]
 struct Entry {
     cmd: String,
@@ -35,7 +35,7 @@
     days: Vec<Day>,
 }
 
-/// What is read of a played day.
+/// Fields of a day in a journal entry that the plot uses.
 #[derive(Debug, Deserialize)]
 struct Day {
     #[serde(rename = "G")]
@@ -44,7 +44,7 @@
     parts: Vec<(String, f64, f64)>,
 }
 
-/// The days of one version.
+/// Days of a version.
 #[derive(Debug, Default)]
 struct Version {
     label: String,
@@ -53,7 +53,7 @@
     parts: [Vec<f64>; 4],
 }
 
-/// Draws the versions of a site into `docs/measurements/SITE.svg` and prints their table.
+/// Plots the versions of a site into `docs/measurements/SITE.svg` and prints their table.
 pub fn run(site: &str) -> Result<()> {
     let versions = versions(Path::new("journal"), site)?;
     ensure!(!versions.is_empty(), "no version of {site} has {MIN_DAYS} days: name another site");
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-/// Versions in the order in which they were first played.
+/// Returns the versions in the order of their first runs.
 fn versions(journal: &Path, site: &str) -> Result<Vec<Version>> {
     let mut by_label: BTreeMap<String, Version> = BTreeMap::new();
     for file in fs::read_dir(journal).context("reading journal/: run this at the root")? {
@@ -72,7 +72,7 @@
             continue;
         }
         let text = fs::read_to_string(&path)?;
-        // Other kinds of entries lack some of the fields.
+        // Entries of other commands may lack required fields.
         let Ok(entry) = serde_json::from_str::<Entry>(&text) else { continue };
         if entry.cmd == "run" && entry.site.as_deref() == Some(site) {
             add(&mut by_label, &entry);
@@ -83,7 +83,7 @@
     Ok(all)
 }
 
-/// Adds the days of an entry to its version: the reason of a run ends in `: DAY seed N`.
+/// Adds the days of an entry to its version. The reason of a run has the form `VERSION: DAY seed N`.
 fn add(by_label: &mut BTreeMap<String, Version>, entry: &Entry) {
     let Some((label, _)) = entry.why.as_deref().and_then(|it| it.rsplit_once(": ")) else { return };
     if LEFT_OUT.iter().any(|it| label.starts_with(it)) {
