--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask soak`: plays seeds and prints what broke.
+//! `cargo xtask soak`: runs soak tests by seed and prints the violated guarantees.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,36 +8,36 @@
 
 use crate::demo;
 
-/// What is played.
+/// Arguments of `cargo xtask soak`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
     /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds that are played one after the other.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// For how long each lasts.
+    /// Duration of each run in seconds.
     #[arg(long, default_value_t = 40)]
     seconds: u64,
     /// Number of nodes.
     #[arg(long, default_value_t = 12)]
     nodes: usize,
-    /// Requests a second to each node.
+    /// Requests per second to each node.
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
-    /// Plays this case instead of the schedules of seeds.
+    /// Run this named case instead of random schedules.
     #[arg(long)]
     case: Option<String>,
-    /// Another program than the one of this tree, as an older version.
+    /// Path of another node program to test, such as an older version.
     #[arg(long)]
     bin: Option<PathBuf>,
 }
 
-/// Cases of a seed that are printed.
+/// Maximum number of violations that are printed for a seed.
 const SHOWN: usize = 6;
 
-/// Plays the seeds; fails if a promise was broken.
+/// Runs the seeds; fails if a guarantee was violated.
 pub fn run(args: &Args) -> anyhow::Result<()> {
     let bin = match &args.bin {
         Some(it) => it.clone(),
@@ -57,12 +57,12 @@
         let outcome = runtime.block_on(async {
             tokio::select! {
                 it = run_schedule(&bin, &options, &schedule) => it,
-                // The processes end with the runtime.
+                // Dropping the runtime kills the processes.
                 _ = tokio::signal::ctrl_c() => bail!("stopped before the end of seed {seed}"),
             }
         })?;
         println!(
-            "  {} requests, {} answered, {} by nodes in touch, {} versions, used {} ms after the next one at most, served {} ms after a start at most, {} promises broken",
+            "  {} requests, {} answered, {} by undisturbed nodes, {} versions, outdated ones used for at most {} ms, first answer at most {} ms after a restart, {} violations",
             outcome.requests,
             outcome.answered,
             outcome.checked,
@@ -77,12 +77,12 @@
             failed.push(seed);
         }
     }
-    ensure!(failed.is_empty(), "seeds that broke a promise: {failed:?}");
+    ensure!(failed.is_empty(), "seeds with violated guarantees: {failed:?}");
     Ok(())
 }
 
 fn named(name: &str) -> anyhow::Result<Case> {
     let found = cases().into_iter().find(|it| it.name == name);
     let names: Vec<_> = cases().iter().map(|it| it.name).collect();
-    found.with_context(|| format!("no case `{name}`: there are {}", names.join(", ")))
+    found.with_context(|| format!("unknown case `{name}`; available cases: {}", names.join(", ")))
 }
