--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -19,22 +19,22 @@
 /// Number of nodes.
 const NODES: usize = 3;
 /// Failure domains over which the nodes are spread.
-const DOMAINS: [&str; 3] = ["a", "b", "c"];
+const FAILURE_DOMAINS: [&str; 3] = ["a", "b", "c"];
 /// Lookups per second.
-const LOOKUPS: f64 = 400.0;
+const LOOKUPS_PER_S: f64 = 400.0;
 /// Bookings per second.
-const BOOKINGS: f64 = 100.0;
+const BOOKINGS_PER_S: f64 = 100.0;
 /// Length of the download that a planned stop must not interrupt, in bytes.
 const DOWNLOAD_BYTES: usize = 4_000_000;
 /// Pause between chunks of the download in microseconds, which makes the download take one to two seconds.
 const PIECE_US: &str = "5000";
 /// Limit for the start of a node.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A child process that is killed on drop.
-struct Running(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -61,12 +61,12 @@
     let mut resources = example()?;
     let endpoints = endpoints(&mut resources).count();
     // A single search guarantees that no two programs get the same port.
-    let mut free = node::free_addrs(1 + 3 * NODES + endpoints)?;
-    let platform = free.pop().context("one address for the platform")?;
-    let addrs = node::nodes_at(&free.split_off(endpoints), &DOMAINS);
-    let mut running = Vec::new();
-    start_upstreams(bin, &mut resources, &free, &mut running)?;
-    start_platform(bin, dir.path(), platform, &resources, &mut running)?;
+    let mut free_addrs = node::free_addrs(1 + 3 * NODES + endpoints)?;
+    let platform = free_addrs.pop().context("no address for the platform")?;
+    let addrs = node::nodes_at(&free_addrs.split_off(endpoints), &FAILURE_DOMAINS);
+    let mut children = Vec::new();
+    start_upstreams(bin, &mut resources, &free_addrs, &mut children)?;
+    start_platform(bin, dir.path(), platform, &resources, &mut children)?;
     let mut options = Options::new(&bin.join("dappleway"), platform);
     options.seeds = addrs.iter().map(|it| it.fleet).collect();
     let mut nodes = Vec::new();
@@ -74,7 +74,7 @@
         nodes.push(Node::start(dir.path(), it, &options)?);
     }
     for it in &nodes {
-        it.wait_ready(START).await?;
+        it.wait_ready(START_TIMEOUT).await?;
     }
     println!("{NODES} nodes are ready; configuration 1 is in force.\n");
     let targets: Vec<_> = addrs.iter().map(|it| it.traffic).collect();
@@ -82,12 +82,12 @@
     let healthy = lookups_and_bookings(&targets, 3.0).await;
     print("All endpoints are healthy", &healthy);
 
-    let sick = endpoint_of(&resources, "slot-availability");
-    client::call(sick, "PUT", "/_standin/fault?kind=stall", "").await?;
-    println!("\n{sick} now answers probes but stalls all requests.");
+    let faulty = endpoint_of(&resources, "slot-availability");
+    client::call(faulty, "PUT", "/_standin/fault?kind=stall", "").await?;
+    println!("\n{faulty} now answers probes but stalls all requests.");
     let stalled = lookups_and_bookings(&targets, 4.0).await;
     print("One endpoint stalls", &stalled);
-    let counts = client::get(sick, "/_standin/counts").await?;
+    let counts = client::get(faulty, "/_standin/counts").await?;
     let counts: standin::upstream::Counts = serde_json::from_slice(&counts.body)?;
     let early = counts.arrivals_ms.iter().take_while(|it| **it < 2_000).count();
     println!(
@@ -95,7 +95,7 @@
     );
     print_endpoints(&nodes[0]).await?;
 
-    client::call(sick, "PUT", "/_standin/fault?kind=none", "").await?;
+    client::call(faulty, "PUT", "/_standin/fault?kind=none", "").await?;
     organisations::demonstrate(platform, &resources, &nodes).await?;
     stop_during_download(&mut nodes).await
 }
@@ -113,8 +113,8 @@
     node.signal("TERM")?;
     let code = wait_exit(node).await?;
     let got = download.await??;
-    println!("  the node ended with exit code {code}; {} bytes arrived", got.body.len());
-    anyhow::ensure!(code == 0 && got.body.len() == DOWNLOAD_BYTES, "the download was cut");
+    println!("  the node exited with code {code}; {} bytes arrived", got.body.len());
+    anyhow::ensure!(code == 0 && got.body.len() == DOWNLOAD_BYTES, "the download was interrupted");
     Ok(())
 }
 
@@ -127,8 +127,8 @@
         method: method.into(),
         path: path.into(),
     };
-    let lookups = caller::run(plan(LOOKUPS, "GET", "/slots/today"));
-    let bookings = caller::run(plan(BOOKINGS, "POST", "/bookings/1"));
+    let lookups = caller::run(plan(LOOKUPS_PER_S, "GET", "/slots/today"));
+    let bookings = caller::run(plan(BOOKINGS_PER_S, "POST", "/bookings/1"));
     let (lookups, bookings) = tokio::join!(lookups, bookings);
     [lookups, bookings]
 }
@@ -150,9 +150,9 @@
     let services = report["services"].as_array().context("the report lists services")?;
     for service in services {
         let endpoints = service["endpoints"].as_array().context("a service has endpoints")?;
-        let out =
+        let not_healthy =
             endpoints.iter().filter(|it| it["state"] != "healthy" && it["state"] != "unknown");
-        for it in out {
+        for it in not_healthy {
             println!(
                 "  {} sees {} of {} as {}",
                 report["node"], it["addr"], service["name"], it["state"]
@@ -180,15 +180,15 @@
 fn start_upstreams(
     bin: &Path,
     resources: &mut [Resource],
-    free: &[SocketAddr],
-    running: &mut Vec<Running>,
+    free_addrs: &[SocketAddr],
+    children: &mut Vec<KillOnDrop>,
 ) -> anyhow::Result<()> {
-    for ((endpoint, slots), addr) in endpoints(resources).zip(free) {
+    for ((endpoint, slots), addr) in endpoints(resources).zip(free_addrs) {
         endpoint.addr = *addr;
         endpoint.id = addr.to_string().into();
         let (listen, slots) = (addr.to_string(), slots.to_string());
         let args = ["upstream", "--listen", &listen, "--slots", &slots, "--piece-us", PIECE_US];
-        running.push(spawn(&bin.join("standin"), &args)?);
+        children.push(spawn(&bin.join("standin"), &args)?);
     }
     Ok(())
 }
@@ -198,20 +198,20 @@
     dir: &Path,
     listen: SocketAddr,
     resources: &[Resource],
-    running: &mut Vec<Running>,
+    children: &mut Vec<KillOnDrop>,
 ) -> anyhow::Result<()> {
     let resources_file = dir.join("resources.json");
     std::fs::write(&resources_file, serde_json::to_vec(resources)?)?;
     let (listen, resources) = (listen.to_string(), resources_file.display().to_string());
     let args = ["platform", "--listen", &listen, "--resources", &resources];
-    running.push(spawn(&bin.join("standin"), &args)?);
+    children.push(spawn(&bin.join("standin"), &args)?);
     Ok(())
 }
 
-fn spawn(program: &Path, args: &[&str]) -> anyhow::Result<Running> {
+fn spawn(program: &Path, args: &[&str]) -> anyhow::Result<KillOnDrop> {
     let mut command = Command::new(program);
     command.args(args).stdin(Stdio::null());
-    Ok(Running(command.spawn().with_context(|| program.display().to_string())?))
+    Ok(KillOnDrop(command.spawn().with_context(|| program.display().to_string())?))
 }
 
 fn endpoint_of(resources: &[Resource], service: &str) -> SocketAddr {
@@ -219,7 +219,7 @@
         Resource::Service(it) if it.name == service => it.endpoints.first().map(|it| it.addr),
         _ => None,
     });
-    endpoint.expect("the example has the service")
+    endpoint.expect("the example defines the service")
 }
 
 async fn wait_exit(node: &mut Node) -> anyhow::Result<i32> {
@@ -229,5 +229,5 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    anyhow::bail!("the node did not end within 10 s")
+    anyhow::bail!("the node did not exit within 10 s")
 }
