--- a/xtask/src/demo/organisations.rs
+++ b/xtask/src/demo/organisations.rs
@@ -22,9 +22,9 @@
 /// Pause between requests of the bakery.
 const PAUSE: Duration = Duration::from_millis(8);
 /// Limit for the configuration with keys to be in force.
-const IN_FORCE: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time in which the buckets fill.
-const FILLS: Duration = Duration::from_secs(2);
+const BUCKET_FILL_TIME: Duration = Duration::from_secs(2);
 
 /// Publishes organisations with keys and sends requests with valid, invalid and missing keys.
 pub(super) async fn demonstrate(
@@ -43,16 +43,16 @@
         [keyed("tours", VALID_KEY.1, 0.0, 0.0), keyed("bakery", LIMITED_KEY, RATE, BURST)];
     let body = serde_json::to_vec(&(resources, organisations))?;
     client::call(platform, "PUT", "/_standin/publish-keyed", body).await?;
-    wait_for_keys(nodes).await?;
-    sleep(FILLS).await;
-    for (who, headers) in
-        [("without a key", vec![]), ("with a key that nobody holds", vec![("x-api-key", "?")])]
+    wait_for_organisations(nodes).await?;
+    sleep(BUCKET_FILL_TIME).await;
+    for (description, headers) in
+        [("without a key", vec![]), ("with an unknown key", vec![("x-api-key", "?")])]
     {
         let got = client::get_with(nodes[0].addrs.traffic, "/slots/today", &headers).await?;
-        println!("  a caller {who} gets {}", got.status);
+        println!("  a caller {description} gets {}", got.status);
     }
     let since = Instant::now();
-    let (mut served, mut refused, mut neighbour) = (0, 0, 0);
+    let (mut served, mut refused, mut unlimited_served) = (0, 0, 0);
     let mut retry_after = String::new();
     for i in 0..REQUESTS {
         let node = nodes[i % nodes.len()].addrs.traffic;
@@ -66,7 +66,7 @@
             retry_after = got.header("retry-after").to_owned();
         }
         let got = client::get_with(node, "/slots/today", &[VALID_KEY]).await?;
-        neighbour += u32::from(got.status.is_success());
+        unlimited_served += u32::from(got.status.is_success());
         sleep(PAUSE).await;
     }
     let seconds = since.elapsed().as_secs_f64();
@@ -74,19 +74,19 @@
         "  the bakery sent {REQUESTS} requests over all nodes in {seconds:.1} s: {served} answered, \
         {refused} refused with 429, the last with retry-after {retry_after} s"
     );
-    println!("  the unlimited organisation meanwhile: {neighbour} of {REQUESTS} answered");
+    println!("  the unlimited organisation meanwhile: {unlimited_served} of {REQUESTS} answered");
     anyhow::ensure!(
-        refused > 0 && neighbour as usize == REQUESTS,
+        refused > 0 && unlimited_served as usize == REQUESTS,
         "the allowance was not enforced correctly"
     );
     Ok(())
 }
 
-async fn wait_for_keys(nodes: &[Node]) -> anyhow::Result<()> {
-    let limit = Instant::now() + IN_FORCE;
+async fn wait_for_organisations(nodes: &[Node]) -> anyhow::Result<()> {
+    let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     for it in nodes {
         while it.report().await?["organisations"].as_array().is_none_or(Vec::is_empty) {
-            anyhow::ensure!(Instant::now() < limit, "the organisations are not in force");
+            anyhow::ensure!(Instant::now() < deadline, "the organisations are not in force");
             sleep(Duration::from_millis(50)).await;
         }
     }
