--- a/xtask/src/faults.rs
+++ b/xtask/src/faults.rs
@@ -25,11 +25,12 @@
     for fault in &FAULTS {
         let mut row = format!("| {} |", fault.name);
         for step in &STEPS {
-            let broken = runtime.block_on(run_cell(&bin, fault, step))?;
-            println!("{} / {}: {broken:?}", fault.name, step.name);
-            row += if broken.is_empty() { " holds |" } else { " **broken** |" };
-            failures
-                .extend(broken.iter().map(|it| format!("{} / {}: {it}", fault.name, step.name)));
+            let violations = runtime.block_on(run_cell(&bin, fault, step))?;
+            println!("{} / {}: {violations:?}", fault.name, step.name);
+            row += if violations.is_empty() { " holds |" } else { " **broken** |" };
+            failures.extend(
+                violations.iter().map(|it| format!("{} / {}: {it}", fault.name, step.name)),
+            );
         }
         table += &row;
         table.push('\n');
