--- a/xtask/src/faults/cell.rs
+++ b/xtask/src/faults/cell.rs
@@ -7,17 +7,17 @@
 use standin::caller::{self, Summary};
 use standin::client;
 use standin::platform;
-use standin::upstream::{Fault as Gray, Profile, download_bytes};
+use standin::upstream::{Fault as UpstreamFault, Profile, download_bytes};
 use tokio::task::JoinHandle;
 
 /// Length of a download in bytes, larger than the part that a node buffers before it sends any of it to the caller.
-const BYTES: usize = 2_400_000;
+const DOWNLOAD_BYTES: usize = 2_400_000;
 /// Time from the first request to the fault.
-const BEFORE: Duration = Duration::from_millis(250);
+const DELAY_BEFORE_FAULT: Duration = Duration::from_millis(250);
 /// Time for which requests are sent, in seconds.
-const SECONDS: f64 = 1.0;
+const REQUEST_SECONDS: f64 = 1.0;
 /// Duration of a freeze.
-const FREEZE: Duration = Duration::from_millis(800);
+const FREEZE_DURATION: Duration = Duration::from_millis(800);
 
 /// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     Stop,
     PlatformDown,
     PlatformStale,
-    Upstream(Gray),
+    Upstream(UpstreamFault),
     UpstreamLeaving,
     Flap,
     ReplaceWhileStale,
@@ -55,13 +55,13 @@
     fault("platform down", Kind::PlatformDown),
     fault("platform stale", Kind::PlatformStale),
     fault("two operators racing", Kind::OperatorsRace),
-    fault("upstream stalls work, answers probes", Kind::Upstream(Gray::Stall)),
-    fault("upstream slow, reports low load", Kind::Upstream(Gray::Slow)),
-    fault("upstream answers late", Kind::Upstream(Gray::Late)),
-    fault("upstream loses answers", Kind::Upstream(Gray::LoseAnswer)),
-    fault("upstream loses requests", Kind::Upstream(Gray::LoseRequest)),
-    fault("upstream stops in mid-body", Kind::Upstream(Gray::StallBody)),
-    fault("upstream swaps answers", Kind::Upstream(Gray::Swap)),
+    fault("upstream stalls work, answers probes", Kind::Upstream(UpstreamFault::Stall)),
+    fault("upstream slow, reports low load", Kind::Upstream(UpstreamFault::Slow)),
+    fault("upstream answers late", Kind::Upstream(UpstreamFault::Late)),
+    fault("upstream loses answers", Kind::Upstream(UpstreamFault::LoseAnswer)),
+    fault("upstream loses requests", Kind::Upstream(UpstreamFault::LoseRequest)),
+    fault("upstream stops in mid-body", Kind::Upstream(UpstreamFault::StallBody)),
+    fault("upstream swaps answers", Kind::Upstream(UpstreamFault::Swap)),
     fault("upstream leaving", Kind::UpstreamLeaving),
     fault("upstream flaps", Kind::Flap),
     fault("node killed and upstream stalls", Kind::KillAndStall),
@@ -94,30 +94,30 @@
         piece_us: 4_000,
     };
     let mut bed = Bed::start(bin, &Layout { profile, ..Layout::small() }).await?;
-    let hand_ins = work(&bed, "POST", "/bookings/1");
-    let bookings = work(&bed, "POST", "/bookings/2");
-    let lookups = work(&bed, "GET", "/slots/today");
+    let first_bookings = send_requests(&bed, "POST", "/bookings/1");
+    let second_bookings = send_requests(&bed, "POST", "/bookings/2");
+    let lookups = send_requests(&bed, "GET", "/slots/today");
     let downloads = (step.name == "mid-answer").then(|| download_all(&bed));
-    tokio::time::sleep(BEFORE).await;
+    tokio::time::sleep(DELAY_BEFORE_FAULT).await;
     let publishes = step.name == "configuration published";
     let mut newest = if publishes { bed.platform.publish(&bed.resources) } else { 1 };
     let before = in_force(&bed).await;
-    newest = newest.max(induce(&mut bed, fault.kind).await?);
-    let mut broken = Vec::new();
-    for summary in [hand_ins.await?, bookings.await?, lookups.await?] {
-        check_work(&bed, &summary, &mut broken);
+    newest = newest.max(inject(&mut bed, fault.kind).await?);
+    let mut violations = Vec::new();
+    for summary in [first_bookings.await?, second_bookings.await?, lookups.await?] {
+        check_requests(&bed, &summary, &mut violations);
     }
     if let Some(downloads) = downloads {
-        check_downloads(fault.kind, downloads.await?, &mut broken);
+        check_downloads(fault.kind, downloads.await?, &mut violations);
     }
-    check_configuration(&bed, fault.kind, &before, newest, &mut broken).await;
-    check_floor(&bed, &mut broken).await;
-    check_exit(&mut bed, fault.kind, &mut broken).await?;
-    Ok(broken)
+    check_configuration(&bed, fault.kind, &before, newest, &mut violations).await;
+    check_floor(&bed, &mut violations).await;
+    check_exit(&mut bed, fault.kind, &mut violations).await?;
+    Ok(violations)
 }
 
-fn work(bed: &Bed, method: &str, path: &str) -> JoinHandle<Summary> {
-    let mut plan = bed.lookups(60.0, SECONDS);
+fn send_requests(bed: &Bed, method: &str, path: &str) -> JoinHandle<Summary> {
+    let mut plan = bed.lookups(60.0, REQUEST_SECONDS);
     plan.method = method.into();
     plan.path = path.into();
     tokio::spawn(caller::run(plan))
@@ -130,7 +130,9 @@
         let mut calls = tokio::task::JoinSet::new();
         for target in targets {
             calls.spawn(async move {
-                let got = client::get(target, &format!("/archives/x?bytes={BYTES}")).await.ok()?;
+                let got = client::get(target, &format!("/archives/x?bytes={DOWNLOAD_BYTES}"))
+                    .await
+                    .ok()?;
                 got.status.is_success().then_some(got.body)
             });
         }
@@ -139,22 +141,22 @@
 }
 
 /// Injects the fault; returns the newest version that the fault published, or 0.
-async fn induce(bed: &mut Bed, kind: Kind) -> anyhow::Result<u64> {
-    let sick = bed.upstreams[0].clone();
+async fn inject(bed: &mut Bed, kind: Kind) -> anyhow::Result<u64> {
+    let faulty = bed.upstreams[0].clone();
     match kind {
         Kind::Kill => bed.nodes[0].kill(),
         Kind::Freeze => freeze(bed).await?,
         Kind::Stop => bed.nodes[0].signal("TERM")?,
         Kind::PlatformDown => bed.platform.set_fault(platform::Fault::Down),
         Kind::PlatformStale => bed.platform.set_fault(platform::Fault::Stale),
-        Kind::Upstream(gray) => sick.set_fault(gray, 1.0, 10.0),
-        Kind::UpstreamLeaving => bed.platform.mark_draining(sick.name()),
+        Kind::Upstream(fault) => faulty.set_fault(fault, 1.0, 10.0),
+        Kind::UpstreamLeaving => bed.platform.mark_draining(faulty.name()),
         Kind::Flap => {
             for _ in 0..4 {
-                sick.set_fault(Gray::Stall, 1.0, 1.0);
-                tokio::time::sleep(FREEZE / 4).await;
-                sick.set_fault(Gray::None, 1.0, 1.0);
-                tokio::time::sleep(FREEZE / 4).await;
+                faulty.set_fault(UpstreamFault::Stall, 1.0, 1.0);
+                tokio::time::sleep(FREEZE_DURATION / 4).await;
+                faulty.set_fault(UpstreamFault::None, 1.0, 1.0);
+                tokio::time::sleep(FREEZE_DURATION / 4).await;
             }
         }
         Kind::ReplaceWhileStale => {
@@ -174,11 +176,11 @@
             return Ok(one.await?.max(other.await?));
         }
         Kind::KillAndStall => {
-            sick.set_fault(Gray::Stall, 1.0, 1.0);
+            faulty.set_fault(UpstreamFault::Stall, 1.0, 1.0);
             bed.nodes[0].kill();
         }
         Kind::FreezeAndLoseAnswers => {
-            sick.set_fault(Gray::LoseAnswer, 1.0, 1.0);
+            faulty.set_fault(UpstreamFault::LoseAnswer, 1.0, 1.0);
             freeze(bed).await?;
         }
     }
@@ -187,7 +189,7 @@
 
 async fn freeze(bed: &Bed) -> anyhow::Result<()> {
     bed.nodes[0].signal("STOP")?;
-    tokio::time::sleep(FREEZE).await;
+    tokio::time::sleep(FREEZE_DURATION).await;
     bed.nodes[0].signal("CONT")
 }
 
@@ -195,38 +197,39 @@
     bed.upstreams.iter().map(|it| it.runs().get(id).copied().unwrap_or(0)).sum()
 }
 
-fn check_work(bed: &Bed, summary: &Summary, broken: &mut Vec<String>) {
+fn check_requests(bed: &Bed, summary: &Summary, violations: &mut Vec<String>) {
     for id in bed.upstreams.iter().flat_map(|it| it.runs().into_keys()) {
         if runs(bed, &id) > 1 {
-            broken.push(format!("{id} ran twice"));
+            violations.push(format!("{id} ran twice"));
         }
     }
     for id in &summary.not_run_ids {
         if runs(bed, id) > 0 {
-            broken.push(format!("{id} ran, and its caller was told that it did not"));
+            violations.push(format!("{id} ran although its caller was told that it did not"));
         }
     }
     if summary.crossed > 0 {
-        broken.push(format!("{} answers were crossed", summary.crossed));
+        violations.push(format!("{} answers were crossed", summary.crossed));
     }
     if summary.answered == 0 {
-        broken.push("nothing was answered".to_owned());
+        violations.push("nothing was answered".to_owned());
     }
 }
 
-fn check_downloads(kind: Kind, got: Vec<Option<bytes::Bytes>>, broken: &mut Vec<String>) {
-    let whole = got.iter().flatten().filter(|it| **it == download_bytes(0, BYTES)).count();
+fn check_downloads(kind: Kind, got: Vec<Option<bytes::Bytes>>, violations: &mut Vec<String>) {
+    let complete =
+        got.iter().flatten().filter(|it| **it == download_bytes(0, DOWNLOAD_BYTES)).count();
     let arrived = got.iter().flatten().count();
-    if whole != arrived {
-        broken.push("a download that appeared complete was not".to_owned());
+    if complete != arrived {
+        violations.push("a download that appeared complete was not".to_owned());
     }
     // A node that is killed or replaced visibly interrupts the download through it.
-    let may_lose = match kind {
+    let allowed_losses = match kind {
         Kind::Kill | Kind::KillAndStall | Kind::ReplaceWhileStale => 1,
         _ => 0,
     };
-    if whole + may_lose < got.len() {
-        broken.push(format!("{} of {} downloads arrived", whole, got.len()));
+    if complete + allowed_losses < got.len() {
+        violations.push(format!("{} of {} downloads arrived", complete, got.len()));
     }
 }
 
@@ -246,27 +249,28 @@
     kind: Kind,
     before: &[u64],
     newest: u64,
-    broken: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) {
-    let is_served = !matches!(kind, Kind::PlatformDown | Kind::PlatformStale);
-    let ends = matches!(kind, Kind::Kill | Kind::KillAndStall | Kind::Stop);
-    for (i, node) in bed.nodes.iter().enumerate().skip(usize::from(ends)) {
+    let serves_newest = !matches!(kind, Kind::PlatformDown | Kind::PlatformStale);
+    let first_node_exits = matches!(kind, Kind::Kill | Kind::KillAndStall | Kind::Stop);
+    for (i, node) in bed.nodes.iter().enumerate().skip(usize::from(first_node_exits)) {
         let mut now = 0;
         for _ in 0..250 {
             let report = node.report().await.unwrap_or_default();
             now = report["in_force"].as_u64().unwrap_or(0);
-            if now >= newest || !is_served {
+            if now >= newest || !serves_newest {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(40)).await;
         }
-        if now < before[i] || (is_served && now < newest) {
-            broken.push(format!("node {i}: version {now}, before {}, newest {newest}", before[i]));
+        if now < before[i] || (serves_newest && now < newest) {
+            violations
+                .push(format!("node {i}: version {now}, before {}, newest {newest}", before[i]));
         }
     }
 }
 
-async fn check_floor(bed: &Bed, broken: &mut Vec<String>) {
+async fn check_floor(bed: &Bed, violations: &mut Vec<String>) {
     for node in &bed.nodes {
         let Ok(report) = node.report().await else { continue };
         let service = &report["services"][0];
@@ -280,25 +284,25 @@
         let floor = service["floor"].as_u64().unwrap_or(0) as usize;
         let in_rotation = count(&["unknown", "healthy", "suspect", "ramping"]);
         if in_rotation + count(&["leaving"]) < floor {
-            broken.push(format!("{in_rotation} endpoints in rotation, the floor is {floor}"));
+            violations.push(format!("{in_rotation} endpoints in rotation, the floor is {floor}"));
         }
     }
 }
 
 /// Checks that a planned stop ends within ten seconds with exit code 0.
-async fn check_exit(bed: &mut Bed, kind: Kind, broken: &mut Vec<String>) -> anyhow::Result<()> {
+async fn check_exit(bed: &mut Bed, kind: Kind, violations: &mut Vec<String>) -> anyhow::Result<()> {
     if kind != Kind::Stop {
         return Ok(());
     }
     for _ in 0..500 {
         if let Some(code) = bed.nodes[0].exit_code()? {
             if code != 0 {
-                broken.push(format!("the planned stop ended with exit code {code}"));
+                violations.push(format!("the planned stop ended with exit code {code}"));
             }
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    broken.push("the planned stop did not end".to_owned());
+    violations.push("the planned stop did not finish".to_owned());
     Ok(())
 }
