--- a/xtask/src/measure/detect.rs
+++ b/xtask/src/measure/detect.rs
@@ -10,13 +10,13 @@
 use standin::upstream::{Fault, Upstream};
 
 /// Duration of a fault.
-const FAULT: Duration = Duration::from_millis(4_500);
+const FAULT_DURATION: Duration = Duration::from_millis(4_500);
 /// Pause before each fault, in which the previous endpoint recovers.
-const REST: Duration = Duration::from_millis(4_000);
+const RECOVERY_TIME: Duration = Duration::from_millis(4_000);
 /// A request that arrives after a gap of this length is a trial: an ejection lasts two seconds or more.
-const GAP_MS: u64 = 1_500;
+const MIN_GAP_MS: u64 = 1_500;
 /// Utilization of the slots.
-const USED: f64 = 0.5;
+const UTILIZATION: f64 = 0.5;
 
 /// The faults, each with the share of requests that it affects and its slowdown factor.
 const FAULTS: [(&str, Fault, f64, f64); 5] = [
@@ -61,7 +61,7 @@
         let mut figures = Vec::new();
         for fault in faults.iter().copied() {
             let bed = Bed::start(bin, &layout).await?;
-            caller::run(bed.lookups(layout.rate(USED), 5.0)).await;
+            caller::run(bed.lookups(layout.rate(UTILIZATION), 5.0)).await;
             let it = measure(&bed, &layout, fault, TRIALS).await?;
             println!("{it:?}");
             figures.push(it);
@@ -78,53 +78,53 @@
     (name, fault, share, factor): (&'static str, Fault, f64, f64),
     trials: usize,
 ) -> anyhow::Result<Figures> {
-    let seconds = ((FAULT + REST) * trials as u32).as_secs_f64();
-    let load = tokio::spawn(caller::run(bed.lookups(layout.rate(USED), seconds)));
+    let seconds = ((FAULT_DURATION + RECOVERY_TIME) * trials as u32).as_secs_f64();
+    let load = tokio::spawn(caller::run(bed.lookups(layout.rate(UTILIZATION), seconds)));
     let mut detections = Vec::new();
     let mut arrivals = 0;
-    let mut sick = Vec::new();
+    let mut faulty = Vec::new();
     for trial in 0..trials {
         // Faults alternate between endpoints, as repeated ejections of the same endpoint would last longer.
         let upstream: &Upstream = &bed.upstreams[trial * 4 % bed.upstreams.len()];
-        sick.push(upstream.name().to_owned());
-        tokio::time::sleep(REST).await;
+        faulty.push(upstream.name().to_owned());
+        tokio::time::sleep(RECOVERY_TIME).await;
         upstream.set_fault(fault, share, factor);
-        tokio::time::sleep(FAULT).await;
+        tokio::time::sleep(FAULT_DURATION).await;
         let counts = upstream.counts();
         upstream.set_fault(Fault::None, 1.0, 1.0);
         arrivals += counts.arrivals_ms.len();
-        detections.push(last_work(&counts.arrivals_ms));
+        detections.push(last_new_request(&counts.arrivals_ms));
     }
     let summary = load.await?;
     let ejections = bed.ejections()?;
     let mut sorted: Vec<u64> = detections.iter().flatten().copied().collect();
     sorted.sort_unstable();
-    let all_found = sorted.len() == trials;
+    let all_detected = sorted.len() == trials;
     Ok(Figures {
         mode: layout.mode,
         fault: name,
         trials,
         median_ms: sorted.get(trials / 2).copied(),
-        worst_ms: sorted.last().copied().filter(|_| all_found),
+        worst_ms: sorted.last().copied().filter(|_| all_detected),
         detection_ms: detections,
         arrivals: arrivals as f64 / trials as f64,
         sent: summary.sent,
         answered: summary.answered,
         failed: summary.sent - summary.answered,
         latency_us: summary.latency_us,
-        false_ejections: ejections.iter().filter(|it| !sick.contains(it)).count(),
+        false_ejections: ejections.iter().filter(|it| !faulty.contains(it)).count(),
     })
 }
 
 /// Returns the last arrival before the first gap, or `None` if there was no gap.
-fn last_work(arrivals_ms: &[u64]) -> Option<u64> {
-    let end = FAULT.as_millis() as u64;
+fn last_new_request(arrivals_ms: &[u64]) -> Option<u64> {
+    let end = FAULT_DURATION.as_millis() as u64;
     let mut last = 0;
     for at in arrivals_ms {
-        if at - last >= GAP_MS {
+        if at - last >= MIN_GAP_MS {
             return Some(last);
         }
         last = *at;
     }
-    (end - last >= GAP_MS).then_some(last)
+    (end - last >= MIN_GAP_MS).then_some(last)
 }
