--- a/xtask/src/measure/loss.rs
+++ b/xtask/src/measure/loss.rs
@@ -11,9 +11,9 @@
 /// Time for which each measurement sends requests, in seconds.
 const SECONDS: f64 = 8.0;
 /// Utilization of the slots.
-const USED: f64 = 0.5;
+const UTILIZATION: f64 = 0.5;
 /// Time from the start of the load to the loss.
-const BEFORE: Duration = Duration::from_secs(2);
+const TIME_BEFORE_LOSS: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Serialize)]
 struct Figures {
@@ -46,15 +46,15 @@
     let layout = Layout::agenda("permits");
     caller::run(bed.lookups(layout.rate(0.4), 4.0)).await;
     let lost = dispatching_node(&bed).await?;
-    let mut plan = bed.lookups(layout.rate(USED), SECONDS);
+    let mut plan = bed.lookups(layout.rate(UTILIZATION), SECONDS);
     // The lost node gets no requests, as after a failed health check of the load balancer: the measurement covers
     // only the effects on the other nodes.
     plan.targets.remove(lost);
     let shed = first_sends_shed(&bed, lost).await?;
     let direct = direct_slots(&bed).await;
     let load = tokio::spawn(caller::run(plan));
-    tokio::time::sleep(BEFORE).await;
-    induce(&mut bed, lost, loss).await?;
+    tokio::time::sleep(TIME_BEFORE_LOSS).await;
+    inject(&mut bed, lost, loss).await?;
     let summary = load.await?;
     Ok(Figures {
         loss,
@@ -81,7 +81,7 @@
     anyhow::bail!("no node dispatches")
 }
 
-async fn induce(bed: &mut Bed, lost: usize, loss: &str) -> anyhow::Result<()> {
+async fn inject(bed: &mut Bed, lost: usize, loss: &str) -> anyhow::Result<()> {
     let others: Vec<_> = bed.nodes.iter().map(|it| it.addrs.fleet).collect();
     match loss {
         "killed" => bed.nodes[lost].kill(),
