--- a/xtask/src/measure/path.rs
+++ b/xtask/src/measure/path.rs
@@ -12,11 +12,11 @@
 /// Requests per second in the comparison of latencies.
 const RATE: f64 = 7_000.0;
 /// Requests per second beyond the capacity of a node.
-const FLOOD: f64 = 14_000.0;
+const OVERLOAD_RATE: f64 = 14_000.0;
 /// Time for which latencies are compared, in seconds.
 const SECONDS: f64 = 8.0;
 /// Number of idle connections.
-const IDLE: usize = 1_000;
+const IDLE_CONNECTIONS: usize = 1_000;
 
 #[derive(Debug, Serialize)]
 struct Figures {
@@ -40,32 +40,32 @@
     let layout = Layout { nodes: 1, endpoints: 4, profile, ..Layout::agenda("permits") };
     let bed = Bed::start(bin, &layout).await?;
     let upstream: Vec<_> = endpoints(&bed).await?;
-    let straight = Plan { targets: upstream, ..bed.lookups(RATE, SECONDS) };
+    let direct = Plan { targets: upstream, ..bed.lookups(RATE, SECONDS) };
     let warm_up = bed.lookups(RATE, 3.0);
     caller::run(warm_up).await;
-    let straight = caller::run(straight).await;
+    let direct = caller::run(direct).await;
     let before = bed.cpu_seconds();
-    let through = caller::run(bed.lookups(RATE, SECONDS)).await;
+    let proxied = caller::run(bed.lookups(RATE, SECONDS)).await;
     let cpu = bed.cpu_seconds() - before;
-    let flooded = caller::run(bed.lookups(FLOOD, 4.0)).await;
+    let overloaded = caller::run(bed.lookups(OVERLOAD_RATE, 4.0)).await;
     let memory = bed.memory_mb().unwrap_or_default();
     let mut idle = Vec::new();
-    for _ in 0..IDLE {
+    for _ in 0..IDLE_CONNECTIONS {
         idle.push(TcpStream::connect(bed.nodes[0].addrs.traffic).await?);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     let idle_mb = bed.memory_mb().unwrap_or_default() - memory;
-    let added = |i: usize| through.latency_us[i] as i64 - straight.latency_us[i] as i64;
-    let per_1000 = cpu / through.answered as f64 * 1000.0;
+    let added = |i: usize| proxied.latency_us[i] as i64 - direct.latency_us[i] as i64;
+    let per_1000 = cpu / proxied.answered as f64 * 1000.0;
     let figures = Figures {
         rate: RATE,
-        straight_us: straight.latency_us,
-        through_us: through.latency_us,
+        straight_us: direct.latency_us,
+        through_us: proxied.latency_us,
         added_us: [added(0), added(1), added(2)],
-        flooded_answers_per_second: flooded.answered as f64 / 4.0,
+        flooded_answers_per_second: overloaded.answered as f64 / 4.0,
         node_cpu_s_per_1000: per_1000,
         answers_per_core_second: 1000.0 / per_1000,
-        idle_connections: IDLE,
+        idle_connections: IDLE_CONNECTIONS,
         idle_mb,
     };
     println!("{figures:#?}");
