--- a/xtask/src/measure/slopes.rs
+++ b/xtask/src/measure/slopes.rs
@@ -11,7 +11,7 @@
 use standin::net::Net;
 
 /// Time without traffic over which costs are measured.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_TIME: Duration = Duration::from_secs(10);
 
 #[derive(Debug, Serialize)]
 struct Processes {
@@ -60,33 +60,33 @@
 
 /// Measures all groups of figures, or only the given one, and writes a file for each.
 pub async fn run(bin: &Path, only: Option<&str>) -> anyhow::Result<()> {
-    let is_wanted = |part: &str| only.is_none_or(|only| only == part);
-    if is_wanted("configuration") {
+    let is_selected = |part: &str| only.is_none_or(|only| only == part);
+    if is_selected("configuration") {
         let mut figures = Vec::new();
-        for part in [0.01, 0.25, 0.5, 1.0] {
-            figures.push(shown(configuration(bin, part).await?));
+        for fraction in [0.01, 0.25, 0.5, 1.0] {
+            figures.push(printed(configuration(bin, fraction).await?));
         }
         super::write("slopes-configuration", &figures)?;
     }
-    if is_wanted("processes") {
+    if is_selected("processes") {
         let mut figures = Vec::new();
         for nodes in [5, 20, 40, 80] {
-            figures.push(shown(processes(bin, nodes).await?));
+            figures.push(printed(processes(bin, nodes).await?));
         }
         super::write("slopes-processes", &figures)?;
     }
-    if is_wanted("traffic") {
+    if is_selected("traffic") {
         let figures = traffic(bin).await?;
-        super::write("slopes-traffic", &shown(figures))?;
+        super::write("slopes-traffic", &printed(figures))?;
     }
-    if is_wanted("exchange") {
-        let figures = [40, 200, 850].map(|nodes| shown(exchange(nodes)));
+    if is_selected("exchange") {
+        let figures = [40, 200, 850].map(|nodes| printed(exchange(nodes)));
         super::write("slopes-exchange", &figures)?;
     }
     Ok(())
 }
 
-fn shown<T: std::fmt::Debug>(figures: T) -> T {
+fn printed<T: std::fmt::Debug>(figures: T) -> T {
     println!("{figures:?}");
     figures
 }
@@ -124,11 +124,11 @@
     let bed = Bed::start(bin, &Layout { nodes, ..Layout::agenda("permits") }).await?;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let (cpu, bytes, calls) = (bed.cpu_seconds(), control_bytes(&bed).await?, bed.platform.calls());
-    tokio::time::sleep(IDLE).await;
-    let per_node_second = 1.0 / nodes as f64 / IDLE.as_secs_f64();
+    tokio::time::sleep(IDLE_TIME).await;
+    let per_node_second = 1.0 / nodes as f64 / IDLE_TIME.as_secs_f64();
     let core_share = (bed.cpu_seconds() - cpu) * per_node_second;
     let control_bytes_per_second = (control_bytes(&bed).await? - bytes) * per_node_second;
-    let platform_calls_per_second = (bed.platform.calls() - calls) as f64 / IDLE.as_secs_f64();
+    let platform_calls_per_second = (bed.platform.calls() - calls) as f64 / IDLE_TIME.as_secs_f64();
     let mut in_force_ms = Vec::new();
     for _ in 0..5 {
         let since = Instant::now();
@@ -155,9 +155,9 @@
 }
 
 /// Measures one node with this fraction of the configuration that the system is designed for.
-async fn configuration(bin: &Path, part: f64) -> anyhow::Result<Configuration> {
+async fn configuration(bin: &Path, fraction: f64) -> anyhow::Result<Configuration> {
     let bed = Bed::start(bin, &Layout { nodes: 1, ..Layout::agenda("permits") }).await?;
-    let count = |full: usize| ((full as f64 * part) as usize).max(1);
+    let count = |full: usize| ((full as f64 * fraction) as usize).max(1);
     let (endpoints, services) = (count(13_000), count(460));
     let (routes, organisations) = (count(4_400), count(33_000));
     let documents = documents(endpoints, services, routes, organisations)?;
@@ -167,14 +167,14 @@
     let in_force_ms = since.elapsed().as_millis() as u64;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let cpu = bed.cpu_seconds();
-    tokio::time::sleep(IDLE).await;
+    tokio::time::sleep(IDLE_TIME).await;
     Ok(Configuration {
         endpoints,
         services,
         routes,
         organisations,
         memory_mb: bed.memory_mb().unwrap_or_default(),
-        core_share: (bed.cpu_seconds() - cpu) / IDLE.as_secs_f64(),
+        core_share: (bed.cpu_seconds() - cpu) / IDLE_TIME.as_secs_f64(),
         in_force_ms,
     })
 }
