--- a/xtask/src/plot.rs
+++ b/xtask/src/plot.rs
@@ -13,7 +13,7 @@
 const MIN_DAYS: usize = 24;
 /// Prefixes of the reasons of runs that do not measure a version: trials on scratch copies, runs with a mechanism
 /// switched off, and runs made for their logs.
-const LEFT_OUT: [&str; 4] = ["trial", "ablation", "reading", "days of our own"];
+const EXCLUDED_PREFIXES: [&str; 4] = ["trial", "ablation", "reading", "days of our own"];
 /// Size of the plot in pixels.
 const SIZE: (u32, u32) = (960, 480);
 /// Names of the components of a day's worth in the journal, and their colours in the plot.
@@ -65,8 +65,10 @@
 
 /// Returns the versions in the order of their first runs.
 fn versions(journal: &Path, site: &str) -> Result<Vec<Version>> {
-    let mut by_label: BTreeMap<String, Version> = BTreeMap::new();
-    for file in fs::read_dir(journal).context("reading journal/: run this at the root")? {
+    let mut versions_by_label: BTreeMap<String, Version> = BTreeMap::new();
+    for file in
+        fs::read_dir(journal).context("reading journal/: run this command at the project root")?
+    {
         let path = file?.path();
         if path.extension().is_none_or(|it| it != "json") {
             continue;
@@ -75,21 +77,22 @@
         // Entries of other commands may lack required fields.
         let Ok(entry) = serde_json::from_str::<Entry>(&text) else { continue };
         if entry.cmd == "run" && entry.site.as_deref() == Some(site) {
-            add(&mut by_label, &entry);
+            add(&mut versions_by_label, &entry);
         }
     }
-    let mut all: Vec<_> = by_label.into_values().filter(|it| it.worth.len() >= MIN_DAYS).collect();
+    let mut all: Vec<_> =
+        versions_by_label.into_values().filter(|it| it.worth.len() >= MIN_DAYS).collect();
     all.sort_by(|a, b| a.since.cmp(&b.since));
     Ok(all)
 }
 
 /// Adds the days of an entry to its version. The reason of a run has the form `VERSION: DAY seed N`.
-fn add(by_label: &mut BTreeMap<String, Version>, entry: &Entry) {
+fn add(versions_by_label: &mut BTreeMap<String, Version>, entry: &Entry) {
     let Some((label, _)) = entry.why.as_deref().and_then(|it| it.rsplit_once(": ")) else { return };
-    if LEFT_OUT.iter().any(|it| label.starts_with(it)) {
+    if EXCLUDED_PREFIXES.iter().any(|it| label.starts_with(it)) {
         return;
     }
-    let version = by_label.entry(label.to_owned()).or_default();
+    let version = versions_by_label.entry(label.to_owned()).or_default();
     version.label = label.to_owned();
     if version.since.is_empty() || entry.at.0 < version.since {
         version.since.clone_from(&entry.at.0);
@@ -103,10 +106,10 @@
 }
 
 fn draw(path: &Path, site: &str, versions: &[Version]) -> Result<()> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
-    root.fill(&WHITE)?;
+    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    area.fill(&WHITE)?;
     let n = versions.len() as f64;
-    let mut chart = ChartBuilder::on(&root)
+    let mut chart = ChartBuilder::on(&area)
         .caption(format!("{site}: worth of a day and its parts by version"), ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(40)
@@ -120,21 +123,21 @@
         .draw()?;
     for (i, (name, colour)) in PARTS.into_iter().enumerate() {
         let points = versions.iter().zip(1..).map(|(it, x)| (f64::from(x), mean(&it.parts[i])));
-        let key = move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour);
-        chart.draw_series(LineSeries::new(points, colour))?.label(name).legend(key);
+        let legend = move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour);
+        chart.draw_series(LineSeries::new(points, colour))?.label(name).legend(legend);
     }
     let bars = versions.iter().zip(1..).map(|(it, x)| {
         let (mean, error) = (mean(&it.worth), standard_error(&it.worth));
         ErrorBar::new_vertical(f64::from(x), mean - error, mean, mean + error, BLACK.filled(), 6)
     });
-    let key = |(x, y)| Circle::new((x + 8, y), 3, BLACK.filled());
-    chart.draw_series(bars)?.label("worth, with its standard error").legend(key);
+    let legend = |(x, y)| Circle::new((x + 8, y), 3, BLACK.filled());
+    chart.draw_series(bars)?.label("worth, with its standard error").legend(legend);
     chart
         .configure_series_labels()
         .position(SeriesLabelPosition::LowerRight)
         .background_style(WHITE.mix(0.8))
         .draw()?;
-    root.present()?;
+    area.present()?;
     Ok(())
 }
 
