--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -35,7 +35,7 @@
 }
 
 /// Maximum number of violations that are printed for a seed.
-const SHOWN: usize = 6;
+const MAX_PRINTED_VIOLATIONS: usize = 6;
 
 /// Runs the seeds; fails if a guarantee was violated.
 pub fn run(args: &Args) -> anyhow::Result<()> {
@@ -48,7 +48,7 @@
     for seed in args.seed..args.seed + args.seeds {
         let length = Duration::from_secs(args.seconds);
         let Case { nodes, schedule, .. } = match &args.case {
-            Some(name) => named(name)?,
+            Some(name) => find_case(name)?,
             None => Case { name: "", nodes: args.nodes, schedule: Schedule::random(seed, length) },
         };
         println!("seed {seed}");
@@ -71,7 +71,7 @@
             outcome.longest_start.as_millis(),
             outcome.violations.len()
         );
-        outcome.violations.iter().take(SHOWN).for_each(|it| println!("  {it}"));
+        outcome.violations.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|it| println!("  {it}"));
         if let Some(logs) = &outcome.logs {
             println!("  logs: {}", logs.display());
             failed.push(seed);
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-fn named(name: &str) -> anyhow::Result<Case> {
+fn find_case(name: &str) -> anyhow::Result<Case> {
     let found = cases().into_iter().find(|it| it.name == name);
     let names: Vec<_> = cases().iter().map(|it| it.name).collect();
     found.with_context(|| format!("unknown case `{name}`; available cases: {}", names.join(", ")))
