--- a/crates/soak/src/cases.rs
+++ b/crates/soak/src/cases.rs
@@ -59,8 +59,8 @@
     case("readers-cut-from-the-store-then-frozen", 24, rounds)
 }
 
-/// Every node has been a reader before and holds an idle connection to the store. All these connections go silent,
-/// and then the current readers are lost in two steps.
+/// A cut between all nodes makes each of them a reader, so that each holds an idle connection to the store afterwards.
+/// These connections go silent, and then the current readers are lost in two steps.
 fn successors_on_silent_connections() -> Case {
     let entries = [
         entry(1_000, 2_500, Fault::Cut(Scope::All)),
@@ -74,7 +74,7 @@
     case("successors-on-silent-connections", 24, entries)
 }
 
-/// The store is restored from older copies, in some rounds just before its readers are killed.
+/// The store is restored from older copies. Versions are published afterwards, also while the readers are killed.
 fn store_restored() -> Case {
     let rounds = (0..ROUNDS).flat_map(|i| {
         let at = 2_000 + i * 6_000;
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -58,7 +58,7 @@
     pub(crate) async fn start(bin: &Path, count: usize) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
         let free = node::free_addrs(1 + SERVICES as usize * ENDPOINTS_PER_SERVICE + 4 * count)?;
-        let (store, free) = free.split_first().expect("more than one is asked for");
+        let (store, free) = free.split_first().expect("more than one address was requested");
         let (endpoint_addrs, free) = free.split_at(SERVICES as usize * ENDPOINTS_PER_SERVICE);
         let (link_addrs, node_addrs) = free.split_at(count);
         let platform = Platform::default();
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -42,7 +42,7 @@
     Storm(Duration),
 }
 
-/// One line of a schedule.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
     /// Time at which the fault begins, counted from the start of the callers.
