--- a/crates/dappleway/tests/crashing.rs
+++ b/crates/dappleway/tests/crashing.rs
@@ -19,7 +19,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller::{self, Plan};
 use standin::upstream::CRASH_PARAMETER;
 
@@ -31,7 +31,7 @@
 /// Time for a node to start.
 const START: Duration = Duration::from_secs(60);
 
-fn crashes(bed: &Bed) -> Vec<Instant> {
+fn crashes(bed: &TestBed) -> Vec<Instant> {
     let mut all: Vec<Instant> = bed.upstreams.iter().flat_map(|it| it.crashes()).collect();
     all.sort();
     all
@@ -40,7 +40,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_endpoints_is_soon_sent_no_more_and_others_are_served() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
-    let bed = Bed::start(bin, &Layout::small()).await.unwrap();
+    let bed = TestBed::start(bin, &Layout::small()).await.unwrap();
     let harmless = Plan { path: "/slots/harmless".into(), ..bed.lookups(50.0, 9.0) };
     let crashing =
         Plan { path: format!("/slots/today?{CRASH_PARAMETER}=1"), ..bed.lookups(20.0, 9.0) };
@@ -58,7 +58,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_that_start_anew_one_after_the_other_do_not_send_it_on() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
-    let mut bed = Bed::start(bin, &Layout::small()).await.unwrap();
+    let mut bed = TestBed::start(bin, &Layout::small()).await.unwrap();
     let path = format!("/slots/today?{CRASH_PARAMETER}=1");
     let crashing = Plan { path, ..bed.lookups(20.0, 3.0) };
     caller::run(crashing.clone()).await;
--- a/crates/dappleway/tests/keys.rs
+++ b/crates/dappleway/tests/keys.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::client::{self, ReceivedAnswer};
 use standin::platform::KeyedOrganisation;
 use standin::upstream::{ECHOED_KEY, ECHOED_ORGANISATION};
@@ -21,20 +21,20 @@
     KeyedOrganisation { name: name.to_owned(), keys, rate_per_s: 0.0, burst: 0.0 }
 }
 
-async fn bed(organisations: &[KeyedOrganisation]) -> Bed {
-    let bed = Bed::start(Path::new(BIN), &Layout::small()).await.unwrap();
+async fn bed(organisations: &[KeyedOrganisation]) -> TestBed {
+    let bed = TestBed::start(Path::new(BIN), &Layout::small()).await.unwrap();
     publish(&bed, organisations).await;
     bed
 }
 
-async fn publish(bed: &Bed, organisations: &[KeyedOrganisation]) {
+async fn publish(bed: &TestBed, organisations: &[KeyedOrganisation]) {
     let version = bed.platform.publish_keyed(&bed.resources, organisations);
     bed.wait_in_force(version).await.unwrap();
 }
 
 /// Sends a lookup to a node with these headers. A node that has no proof yet that its configuration is the
 /// newest tells whoever it can't place to come back, so that one is sent again until the node knows.
-async fn lookup(bed: &Bed, node: usize, headers: &[(&str, &str)]) -> ReceivedAnswer {
+async fn lookup(bed: &TestBed, node: usize, headers: &[(&str, &str)]) -> ReceivedAnswer {
     let limit = Instant::now() + Duration::from_secs(60);
     loop {
         let got =
@@ -133,7 +133,7 @@
     }
 }
 
-async fn wait_for_log(bed: &Bed, text: &str) {
+async fn wait_for_log(bed: &TestBed, text: &str) {
     let limit = Instant::now() + Duration::from_secs(60);
     while Instant::now() < limit {
         let has_it = |it: &standin::node::Node| {
--- a/crates/dappleway/tests/notices.rs
+++ b/crates/dappleway/tests/notices.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller;
 use standin::upstream::{Advertised, Fault};
 
@@ -21,7 +21,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_says_it_leaves_gets_no_new_work_though_the_registry_lists_it() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
-    let bed = Bed::start(bin, &Layout::small()).await.unwrap();
+    let bed = TestBed::start(bin, &Layout::small()).await.unwrap();
     caller::run(bed.lookups(100.0, 1.0)).await;
     let leaving = &bed.upstreams[0];
     leaving.advertise(Advertised { leaving: true, ..Advertised::default() });
@@ -35,7 +35,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_asks_a_node_for_rest_has_it() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
-    let bed = Bed::start(bin, &Layout { nodes: 1, ..Layout::small() }).await.unwrap();
+    let bed = TestBed::start(bin, &Layout { nodes: 1, ..Layout::small() }).await.unwrap();
     caller::run(bed.lookups(100.0, 1.0)).await;
     let resting = &bed.upstreams[0];
     resting.advertise(Advertised { back_off: Some(REST.as_secs_f64()), ..Advertised::default() });
--- a/crates/dappleway/tests/operating.rs
+++ b/crates/dappleway/tests/operating.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::node::Node;
 use standin::upstream::Fault;
 use standin::{caller, client};
@@ -13,8 +13,8 @@
 /// Time for a process to come up on a busy machine.
 const START: Duration = Duration::from_secs(60);
 
-async fn bed(nodes: usize) -> Bed {
-    Bed::start(Path::new(BIN), &Layout { nodes, ..Layout::small() }).await.unwrap()
+async fn bed(nodes: usize) -> TestBed {
+    TestBed::start(Path::new(BIN), &Layout { nodes, ..Layout::small() }).await.unwrap()
 }
 
 /// Lines fill the pipe, then the queue; requests are answered all the same, and what was left out is
--- a/crates/dappleway/tests/promises.rs
+++ b/crates/dappleway/tests/promises.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller::{self, Plan, Summary};
 use standin::client;
 use standin::node::{Node, Options};
@@ -24,41 +24,41 @@
 
 /// A bed that holds its place until it is dropped.
 struct PlacedBed {
-    bed: Bed,
+    bed: TestBed,
     _place: SemaphorePermit<'static>,
 }
 
 impl Deref for PlacedBed {
-    type Target = Bed;
+    type Target = TestBed;
 
-    fn deref(&self) -> &Bed {
+    fn deref(&self) -> &TestBed {
         &self.bed
     }
 }
 
 impl DerefMut for PlacedBed {
-    fn deref_mut(&mut self) -> &mut Bed {
+    fn deref_mut(&mut self) -> &mut TestBed {
         &mut self.bed
     }
 }
 
 async fn bed(layout: &Layout) -> PlacedBed {
     let place = PLACES.acquire().await.unwrap();
-    let bed = Bed::start(Path::new(env!("CARGO_BIN_EXE_dappleway")), layout).await.unwrap();
+    let bed = TestBed::start(Path::new(env!("CARGO_BIN_EXE_dappleway")), layout).await.unwrap();
     PlacedBed { bed, _place: place }
 }
 
-async fn send(bed: &Bed, method: &str, path: &str, rate: f64, seconds: f64) -> Summary {
+async fn send(bed: &TestBed, method: &str, path: &str, rate: f64, seconds: f64) -> Summary {
     let plan = Plan { method: method.into(), path: path.into(), ..bed.lookups(rate, seconds) };
     caller::run(plan).await
 }
 
 /// How often a request was run, over all endpoints.
-fn runs(bed: &Bed, id: &str) -> u32 {
+fn runs(bed: &TestBed, id: &str) -> u32 {
     bed.upstreams.iter().map(|it| it.runs().get(id).copied().unwrap_or(0)).sum()
 }
 
-fn check_at_most_once(bed: &Bed, summary: &Summary, what: &str) {
+fn check_at_most_once(bed: &TestBed, summary: &Summary, what: &str) {
     let ids: BTreeSet<String> = bed.upstreams.iter().flat_map(|it| it.runs().into_keys()).collect();
     for id in &ids {
         assert!(runs(bed, id) <= 1, "{what}: {id} ran {} times", runs(bed, id));
@@ -225,7 +225,7 @@
 }
 
 /// Node 0 hears the others and cannot answer them, or the other way round.
-async fn cut_one_way(bed: &Bed, from_first: bool) {
+async fn cut_one_way(bed: &TestBed, from_first: bool) {
     let first = bed.nodes[0].addrs.fleet;
     let others: Vec<_> = bed.nodes[1..].iter().map(|it| it.addrs.fleet).collect();
     if from_first {
@@ -330,7 +330,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_change_of_the_settings_file_is_taken_up_without_a_restart() {
     let mut bed = bed(&Layout { nodes: 1, ..Layout::small() }).await;
-    let log = |bed: &Bed| std::fs::read_to_string(&bed.nodes[0].log).unwrap();
+    let log = |bed: &TestBed| std::fs::read_to_string(&bed.nodes[0].log).unwrap();
     bed.nodes[0].edit_settings("level = \"info\"", "level = \"debug\"").unwrap();
     bed.nodes[0].signal("HUP").unwrap();
     while !log(&bed).contains("\"changed\":\"log.level\"") {
--- a/crates/dappleway/tests/rate_limits.rs
+++ b/crates/dappleway/tests/rate_limits.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller;
 use standin::upstream::Advertised;
 
@@ -22,7 +22,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_together_keep_to_the_rate_limits_of_endpoints() {
     let bin = Path::new(env!("CARGO_BIN_EXE_dappleway"));
-    let bed = Bed::start(bin, &Layout::small()).await.unwrap();
+    let bed = TestBed::start(bin, &Layout::small()).await.unwrap();
     caller::run(bed.lookups(100.0, 1.0)).await;
     let limited = &bed.upstreams[..2];
     limited.iter().for_each(|it| {
--- a/crates/standin/src/bed.rs
+++ b/crates/standin/src/bed.rs
@@ -19,7 +19,7 @@
 
 /// A test bed with one service. Requests for `/slots/…` may be repeated and hedged, requests for `/bookings/…` are
 /// repeated only if they did not run, and answers to `/archives/…` are long.
-pub struct Bed {
+pub struct TestBed {
     /// The node processes.
     pub nodes: Vec<Node>,
     /// The endpoints of the service.
@@ -106,7 +106,7 @@
     }
 }
 
-impl Bed {
+impl TestBed {
     /// Starts a test bed with the node program at `bin` and waits until all nodes are ready.
     pub async fn start(bin: &Path, layout: &Layout) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
--- a/xtask/src/faults/cell.rs
+++ b/xtask/src/faults/cell.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller::{self, Summary};
 use standin::client;
 use standin::platform;
@@ -93,7 +93,7 @@
         cold_ms: 0,
         piece_us: 4_000,
     };
-    let mut bed = Bed::start(bin, &Layout { profile, ..Layout::small() }).await?;
+    let mut bed = TestBed::start(bin, &Layout { profile, ..Layout::small() }).await?;
     let first_bookings = send_requests(&bed, "POST", "/bookings/1");
     let second_bookings = send_requests(&bed, "POST", "/bookings/2");
     let lookups = send_requests(&bed, "GET", "/slots/today");
@@ -116,7 +116,7 @@
     Ok(violations)
 }
 
-fn send_requests(bed: &Bed, method: &str, path: &str) -> JoinHandle<Summary> {
+fn send_requests(bed: &TestBed, method: &str, path: &str) -> JoinHandle<Summary> {
     let mut plan = bed.lookups(60.0, REQUEST_SECONDS);
     plan.method = method.into();
     plan.path = path.into();
@@ -124,7 +124,7 @@
 }
 
 /// Downloads through every node and returns the bodies, or `None` for a download that visibly failed.
-fn download_all(bed: &Bed) -> JoinHandle<Vec<Option<bytes::Bytes>>> {
+fn download_all(bed: &TestBed) -> JoinHandle<Vec<Option<bytes::Bytes>>> {
     let targets: Vec<_> = bed.nodes.iter().map(|it| it.addrs.traffic).collect();
     tokio::spawn(async move {
         let mut calls = tokio::task::JoinSet::new();
@@ -141,7 +141,7 @@
 }
 
 /// Injects the fault; returns the newest version that the fault published, or 0.
-async fn inject(bed: &mut Bed, kind: Kind) -> anyhow::Result<u64> {
+async fn inject(bed: &mut TestBed, kind: Kind) -> anyhow::Result<u64> {
     let faulty = bed.upstreams[0].clone();
     match kind {
         Kind::Kill => bed.nodes[0].kill(),
@@ -187,17 +187,17 @@
     Ok(0)
 }
 
-async fn freeze(bed: &Bed) -> anyhow::Result<()> {
+async fn freeze(bed: &TestBed) -> anyhow::Result<()> {
     bed.nodes[0].signal("STOP")?;
     tokio::time::sleep(FREEZE_DURATION).await;
     bed.nodes[0].signal("CONT")
 }
 
-fn runs(bed: &Bed, id: &str) -> u32 {
+fn runs(bed: &TestBed, id: &str) -> u32 {
     bed.upstreams.iter().map(|it| it.runs().get(id).copied().unwrap_or(0)).sum()
 }
 
-fn check_requests(bed: &Bed, summary: &Summary, violations: &mut Vec<String>) {
+fn check_requests(bed: &TestBed, summary: &Summary, violations: &mut Vec<String>) {
     for id in bed.upstreams.iter().flat_map(|it| it.runs().into_keys()) {
         if runs(bed, &id) > 1 {
             violations.push(format!("{id} ran twice"));
@@ -233,7 +233,7 @@
     }
 }
 
-async fn in_force(bed: &Bed) -> Vec<u64> {
+async fn in_force(bed: &TestBed) -> Vec<u64> {
     let mut all = Vec::new();
     for it in &bed.nodes {
         let report = it.report().await.unwrap_or_default();
@@ -245,7 +245,7 @@
 /// Checks that no node goes back to an older version, and that the newest version comes into force everywhere if the
 /// platform serves it.
 async fn check_configuration(
-    bed: &Bed,
+    bed: &TestBed,
     kind: Kind,
     before: &[u64],
     newest: u64,
@@ -270,7 +270,7 @@
     }
 }
 
-async fn check_floor(bed: &Bed, violations: &mut Vec<String>) {
+async fn check_floor(bed: &TestBed, violations: &mut Vec<String>) {
     for node in &bed.nodes {
         let Ok(report) = node.report().await else { continue };
         let service = &report["services"][0];
@@ -290,7 +290,11 @@
 }
 
 /// Checks that a planned stop ends within ten seconds with exit code 0.
-async fn check_exit(bed: &mut Bed, kind: Kind, violations: &mut Vec<String>) -> anyhow::Result<()> {
+async fn check_exit(
+    bed: &mut TestBed,
+    kind: Kind,
+    violations: &mut Vec<String>,
+) -> anyhow::Result<()> {
     if kind != Kind::Stop {
         return Ok(());
     }
--- a/xtask/src/measure/detect.rs
+++ b/xtask/src/measure/detect.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller;
 use standin::upstream::{Fault, Upstream};
 
@@ -60,7 +60,7 @@
         let faults = if *mode == "round-robin" { &FAULTS[..1] } else { &FAULTS[..] };
         let mut figures = Vec::new();
         for fault in faults.iter().copied() {
-            let bed = Bed::start(bin, &layout).await?;
+            let bed = TestBed::start(bin, &layout).await?;
             caller::run(bed.lookups(layout.rate(UTILIZATION), 5.0)).await;
             let it = measure(&bed, &layout, fault, TRIALS).await?;
             println!("{it:?}");
@@ -73,7 +73,7 @@
 }
 
 async fn measure(
-    bed: &Bed,
+    bed: &TestBed,
     layout: &Layout,
     (name, fault, share, factor): (&'static str, Fault, f64, f64),
     trials: usize,
--- a/xtask/src/measure/dispatch.rs
+++ b/xtask/src/measure/dispatch.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use serde::Serialize;
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller;
 
 /// Time for which each measurement sends requests, in seconds.
@@ -38,7 +38,7 @@
     let mut all = Vec::new();
     for mode in MODES.iter().filter(|it| only.is_none_or(|only| only == **it)) {
         let layout = Layout::agenda(mode);
-        let bed = Bed::start(bin, &layout).await?;
+        let bed = TestBed::start(bin, &layout).await?;
         caller::run(bed.lookups(layout.rate(0.4), 4.0)).await;
         for used in [0.5, 0.7, 0.85] {
             let it = measure(&bed, &layout, used).await?;
@@ -49,7 +49,7 @@
     super::write("dispatch", &all)
 }
 
-async fn measure(bed: &Bed, layout: &Layout, used: f64) -> anyhow::Result<Figures> {
+async fn measure(bed: &TestBed, layout: &Layout, used: f64) -> anyhow::Result<Figures> {
     let shed = bed.metric("dappleway_first_sends_shed_total").await?;
     let hedges = bed.metric("dappleway_hedges_total").await?;
     let before = totals(bed).await?;
@@ -78,7 +78,7 @@
 
 /// Returns the sums over all nodes of permit frames, permit bytes, exchange bytes, and slots chosen without a
 /// dispatcher.
-async fn totals(bed: &Bed) -> anyhow::Result<[f64; 4]> {
+async fn totals(bed: &TestBed) -> anyhow::Result<[f64; 4]> {
     let mut sums = [0.0; 4];
     for it in &bed.nodes {
         let report = it.report().await?;
--- a/xtask/src/measure/loss.rs
+++ b/xtask/src/measure/loss.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller;
 
 /// Time for which each measurement sends requests, in seconds.
@@ -34,7 +34,7 @@
 pub async fn run(bin: &Path) -> anyhow::Result<()> {
     let mut all = Vec::new();
     for loss in ["none", "killed", "frozen for 3 s", "cannot answer", "cannot be reached"] {
-        let bed = Bed::start(bin, &Layout::agenda("permits")).await?;
+        let bed = TestBed::start(bin, &Layout::agenda("permits")).await?;
         let it = measure(bed, loss).await?;
         println!("{it:?}");
         all.push(it);
@@ -42,7 +42,7 @@
     super::write("loss", &all)
 }
 
-async fn measure(mut bed: Bed, loss: &'static str) -> anyhow::Result<Figures> {
+async fn measure(mut bed: TestBed, loss: &'static str) -> anyhow::Result<Figures> {
     let layout = Layout::agenda("permits");
     caller::run(bed.lookups(layout.rate(0.4), 4.0)).await;
     let lost = dispatching_node(&bed).await?;
@@ -70,7 +70,7 @@
 }
 
 /// Finds a node that dispatches for a healthy endpoint.
-async fn dispatching_node(bed: &Bed) -> anyhow::Result<usize> {
+async fn dispatching_node(bed: &TestBed) -> anyhow::Result<usize> {
     for (i, it) in bed.nodes.iter().enumerate() {
         let report = it.report().await?;
         let endpoints = report["services"][0]["endpoints"].as_array().cloned().unwrap_or_default();
@@ -81,7 +81,7 @@
     anyhow::bail!("no node dispatches")
 }
 
-async fn inject(bed: &mut Bed, lost: usize, loss: &str) -> anyhow::Result<()> {
+async fn inject(bed: &mut TestBed, lost: usize, loss: &str) -> anyhow::Result<()> {
     let others: Vec<_> = bed.nodes.iter().map(|it| it.addrs.fleet).collect();
     match loss {
         "killed" => bed.nodes[lost].kill(),
@@ -104,7 +104,7 @@
 }
 
 /// Sums the metric over all nodes except the lost one.
-async fn first_sends_shed(bed: &Bed, lost: usize) -> anyhow::Result<f64> {
+async fn first_sends_shed(bed: &TestBed, lost: usize) -> anyhow::Result<f64> {
     let mut sum = 0.0;
     for (i, it) in bed.nodes.iter().enumerate() {
         if i != lost {
@@ -114,7 +114,7 @@
     Ok(sum)
 }
 
-async fn direct_slots(bed: &Bed) -> f64 {
+async fn direct_slots(bed: &TestBed) -> f64 {
     let mut sum = 0.0;
     for it in &bed.nodes {
         let report = it.report().await.unwrap_or_default();
--- a/xtask/src/measure/path.rs
+++ b/xtask/src/measure/path.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller::{self, Plan};
 use standin::upstream::Profile;
 use tokio::net::TcpStream;
@@ -38,7 +38,7 @@
 pub async fn run(bin: &Path) -> anyhow::Result<()> {
     let profile = Profile { slots: 512, service_us: 0, heavy_tail: false, cold_ms: 0, piece_us: 0 };
     let layout = Layout { nodes: 1, endpoints: 4, profile, ..Layout::agenda("permits") };
-    let bed = Bed::start(bin, &layout).await?;
+    let bed = TestBed::start(bin, &layout).await?;
     let upstream: Vec<_> = endpoints(&bed).await?;
     let direct = Plan { targets: upstream, ..bed.lookups(RATE, SECONDS) };
     let warm_up = bed.lookups(RATE, 3.0);
@@ -72,7 +72,7 @@
     super::write("path", &figures)
 }
 
-async fn endpoints(bed: &Bed) -> anyhow::Result<Vec<std::net::SocketAddr>> {
+async fn endpoints(bed: &TestBed) -> anyhow::Result<Vec<std::net::SocketAddr>> {
     let report = bed.nodes[0].report().await?;
     let endpoints = report["services"][0]["endpoints"].as_array().cloned().unwrap_or_default();
     Ok(endpoints.iter().filter_map(|it| it["addr"].as_str()?.parse().ok()).collect())
--- a/xtask/src/measure/slopes.rs
+++ b/xtask/src/measure/slopes.rs
@@ -6,7 +6,7 @@
 
 use resources::{Endpoint, Resource};
 use serde::Serialize;
-use standin::bed::{Bed, Layout};
+use standin::bed::{Layout, TestBed};
 use standin::caller;
 use standin::net::Net;
 
@@ -121,7 +121,7 @@
 }
 
 async fn processes(bin: &Path, nodes: usize) -> anyhow::Result<Processes> {
-    let bed = Bed::start(bin, &Layout { nodes, ..Layout::agenda("permits") }).await?;
+    let bed = TestBed::start(bin, &Layout { nodes, ..Layout::agenda("permits") }).await?;
     tokio::time::sleep(Duration::from_secs(3)).await;
     let (cpu, bytes, calls) = (bed.cpu_seconds(), control_bytes(&bed).await?, bed.platform.calls());
     tokio::time::sleep(IDLE_TIME).await;
@@ -146,7 +146,7 @@
     })
 }
 
-async fn control_bytes(bed: &Bed) -> anyhow::Result<f64> {
+async fn control_bytes(bed: &TestBed) -> anyhow::Result<f64> {
     let mut sum = 0.0;
     for it in &bed.nodes {
         sum += it.report().await?["control_bytes"].as_f64().unwrap_or_default();
@@ -156,7 +156,7 @@
 
 /// Measures one node with this fraction of the configuration that the system is designed for.
 async fn configuration(bin: &Path, fraction: f64) -> anyhow::Result<Configuration> {
-    let bed = Bed::start(bin, &Layout { nodes: 1, ..Layout::agenda("permits") }).await?;
+    let bed = TestBed::start(bin, &Layout { nodes: 1, ..Layout::agenda("permits") }).await?;
     let count = |full: usize| ((full as f64 * fraction) as usize).max(1);
     let (endpoints, services) = (count(13_000), count(460));
     let (routes, organisations) = (count(4_400), count(33_000));
@@ -220,7 +220,7 @@
 
 async fn traffic(bin: &Path) -> anyhow::Result<Vec<Traffic>> {
     let layout = Layout::agenda("permits");
-    let bed = Bed::start(bin, &layout).await?;
+    let bed = TestBed::start(bin, &layout).await?;
     caller::run(bed.lookups(layout.rate(0.4), 3.0)).await;
     let mut all = Vec::new();
     for used in [0.1, 0.3, 0.6] {
@@ -240,7 +240,7 @@
     Ok(all)
 }
 
-async fn permit_bytes(bed: &Bed) -> anyhow::Result<f64> {
+async fn permit_bytes(bed: &TestBed) -> anyhow::Result<f64> {
     let mut sum = 0.0;
     for it in &bed.nodes {
         sum += it.report().await?["permit_bytes"].as_f64().unwrap_or_default();
