--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -26,7 +26,7 @@
 /// Number of nodes that serve as seeds for the others.
 const SEEDS: usize = 3;
 /// Number of failure domains.
-const DOMAINS: u64 = 3;
+const FAILURE_DOMAINS: u64 = 3;
 /// Time after which a fetch is abandoned.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time that the answer to a watch may take beyond the watch's own waiting time.
@@ -85,7 +85,7 @@
     capacity: Capacity,
     rng: &mut StdRng,
 ) -> Exchange {
-    let failure_domain = i as u64 % DOMAINS;
+    let failure_domain = i as u64 % FAILURE_DOMAINS;
     let me = Identity { addr: addr(i), failure_domain, incarnation, capacity };
     let seeds: Vec<_> = (0..SEEDS).map(addr).collect();
     Exchange::new(now, me, &seeds, rng)
