--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -67,6 +67,7 @@
     std::mem::take(&mut *records.lock())
 }
 
+/// Sends a request and classifies its outcome; `None` if the connection broke.
 async fn send(
     client: &HttpClient,
     deployment: &Deployment,
--- a/crates/soak/src/cases.rs
+++ b/crates/soak/src/cases.rs
@@ -118,7 +118,7 @@
     case("all-start-on-a-sick-store", 24, rounds)
 }
 
-/// All cases.
+/// Returns all named cases.
 pub fn cases() -> Vec<Case> {
     vec![
         silent_while_idle(),
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -61,6 +61,7 @@
     pub(crate) acknowledged: Instant,
 }
 
+/// Time span in which a fault affects a node.
 #[derive(Clone, Copy, Debug)]
 struct Disturbance {
     from: Instant,
@@ -225,6 +226,7 @@
         violations
     }
 
+    /// Checks a single request.
     fn check_request(&self, it: &RequestRecord) -> Option<Violation> {
         let is_undisturbed = self.is_undisturbed(it.node, it.sent, it.ended);
         let (oldest, newest) =
@@ -314,6 +316,7 @@
     records.iter().filter_map(check).collect()
 }
 
+/// Whether the text of a refusal gives the node's configuration as the reason.
 fn is_about_configuration(text: &str) -> bool {
     ["no configuration", "missed a change", "cannot be served"].iter().any(|it| text.contains(it))
 }
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -123,6 +123,8 @@
         number
     }
 
+    /// Builds the resources of a version: all services, two routes that move with each version, and the routes that the
+    /// latest versions added.
     fn resources(&self, version: u64) -> Vec<Resource> {
         let name = |service: u64| format!("service-{service}");
         let services = (0..SERVICES).map(|i| {
@@ -144,7 +146,7 @@
         let oldest = version.saturating_sub(ROUTE_LIFETIME - 1).max(1);
         let added = (oldest..=version).map(|it| route(format!("/since-{it}/"), "anytime"));
         let all = services.chain(moved).chain(added);
-        all.map(|it| serde_json::from_value(it).expect("the form of resources")).collect()
+        all.map(|it| serde_json::from_value(it).expect("the JSON describes resources")).collect()
     }
 
     /// Returns the nodes that currently match a scope.
@@ -234,6 +236,7 @@
         Ok(())
     }
 
+    /// Selects the nodes of a scope and records the beginning of a disturbance.
     async fn begin_disturbance(&self, scope: Scope) -> Vec<usize> {
         let nodes = self.nodes_in(scope).await;
         self.history.lock().begin_disturbance(&nodes, Instant::now());
@@ -260,6 +263,7 @@
         }
     }
 
+    /// Waits until the processes have exited, at most for `STOP_TIMEOUT`.
     async fn wait_stopped(&self, nodes: &[usize]) -> anyhow::Result<()> {
         let since = Instant::now();
         for i in nodes {
@@ -278,10 +282,10 @@
         nodes.iter().for_each(|i| self.links[*i].set(fault));
     }
 
-    async fn cut(&self, nodes: &[usize], from: &[SocketAddr]) {
+    async fn cut(&self, nodes: &[usize], peers: &[SocketAddr]) {
         for i in nodes {
             // A node that does not answer does not send frames either.
-            let _ = timeout(OPERATOR_TIMEOUT, self.nodes[*i].lock().await.cut(from)).await;
+            let _ = timeout(OPERATOR_TIMEOUT, self.nodes[*i].lock().await.cut(peers)).await;
         }
     }
 
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -87,6 +87,7 @@
     }
 }
 
+/// A proxied connection.
 struct Connection {
     fault: watch::Receiver<Fault>,
     platform: Platform,
@@ -95,6 +96,7 @@
 }
 
 impl Connection {
+    /// Forwards data between a node and the store until either side or a fault ends the connection.
     async fn serve(mut self, mut node: TcpStream, store: SocketAddr) -> std::io::Result<()> {
         let mut store = TcpStream::connect(store).await?;
         node.set_nodelay(true)?;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -80,6 +80,7 @@
     finish(deployment, options, &records).await
 }
 
+/// Publishes versions at random intervals until `end`.
 async fn run_operator(deployment: Arc<Deployment>, mut rng: StdRng, end: Instant) {
     while Instant::now() < end {
         deployment.publish();
@@ -87,6 +88,7 @@
     }
 }
 
+/// Injects the fault of an entry at its time.
 async fn run_entry(deployment: Arc<Deployment>, at: Instant, entry: Entry) -> anyhow::Result<()> {
     tokio::time::sleep_until(at.into()).await;
     if entry.publishes_around {
@@ -99,6 +101,7 @@
     Ok(())
 }
 
+/// Checks the guarantees and collects the results of the run.
 async fn finish(
     deployment: Arc<Deployment>,
     options: &Options,
