--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -208,6 +208,7 @@
         self.platform.calls.insert(i, call);
     }
 
+    /// Creates the next platform call of a node.
     fn call(&mut self, i: usize, reads: Reads) -> Call {
         let link = &self.links[i];
         if link.queueing_delay() > WATCH_MARGIN {
@@ -334,6 +335,7 @@
         }
     }
 
+    /// Starts a fetch from the peer at `from`, which fails at once if a cut separates the nodes.
     fn fetch(&mut self, i: usize, from: SocketAddr) {
         let peer = self.index_by_addr.get(&from).copied();
         let reachable =
@@ -363,6 +365,7 @@
         self.apply(i, effects);
     }
 
+    /// Delivers a frame, unless a cut or random loss drops it.
     fn deliver(&mut self, from: usize, to: SocketAddr, message: Message) {
         let frame = self.nodes[from].frame(message);
         let n = frame.encode(&self.keys).expect("frames fit a datagram").len();
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -79,6 +79,7 @@
         self.era_override.clone().unwrap_or(Some((self.restores + 1).to_string()))
     }
 
+    /// Restores the state that the store had at `revision`.
     fn restore(&mut self, revision: u64) {
         self.restores += 1;
         self.revision = revision;
@@ -94,6 +95,7 @@
         }
     }
 
+    /// Writes or, with `None`, removes an item as the next revision.
     fn put(&mut self, key: &str, value: Option<Vec<u8>>) {
         self.revision += 1;
         let event = Event { revision: self.revision, key: key.to_owned(), value };
@@ -164,6 +166,7 @@
         })
     }
 
+    /// Publishes the next version after `add` has completed its document.
     fn publish_config(&self, resources: &[Resource], add: impl FnOnce(&mut Value)) -> u64 {
         let mut state = self.state.lock();
         state.version += 1;
@@ -342,6 +345,7 @@
         server::json(&json!({ "items": items, "hasMore": has_more, "currentRev": revision }))
     }
 
+    /// Answers with the changes after a revision, after waiting for them at most for `wait`.
     async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Answer {
         let until = tokio::time::Instant::now() + wait;
         loop {
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -274,6 +274,7 @@
         Ok(answer(StatusCode::OK, ""))
     }
 
+    /// Handles a request of a caller under the current fault.
     async fn handle_request(self, req: Request<Incoming>) -> Answer {
         let fault = self.record_arrival();
         let id = header(&req, "x-request-id");
@@ -355,6 +356,7 @@
         res
     }
 
+    /// Draws a random service time.
     fn service_time(&self) -> Duration {
         let mut rng = rand::rng();
         let exponential = -(1.0 - rng.random::<f64>()).ln();
@@ -380,6 +382,7 @@
         }
     }
 
+    /// Creates the answer to a download, which supports ranges.
     fn download(&self, headers: &http::HeaderMap, total: usize, fault: Fault) -> Response<Body> {
         let etag = format!("\"v1-{total}\"");
         let range = headers.get("range").and_then(|it| it.to_str().ok());
