--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -145,6 +145,7 @@
     }
 }
 
+/// Prints the endpoints that a node considers neither healthy nor unknown.
 async fn print_endpoints(node: &Node) -> anyhow::Result<()> {
     let report = node.report().await?;
     let services = report["services"].as_array().context("the report lists services")?;
@@ -162,6 +163,7 @@
     Ok(())
 }
 
+/// Reads the example resources.
 fn example() -> anyhow::Result<Vec<Resource>> {
     let text = std::fs::read(root().join("examples/agenda-pyme.json"))?;
     Ok(serde_json::from_slice(&text)?)
@@ -214,6 +216,7 @@
     Ok(KillOnDrop(command.spawn().with_context(|| program.display().to_string())?))
 }
 
+/// Returns the address of the first endpoint of a service.
 fn endpoint_of(resources: &[Resource], service: &str) -> SocketAddr {
     let endpoint = resources.iter().find_map(|it| match it {
         Resource::Service(it) if it.name == service => it.endpoints.first().map(|it| it.addr),
--- a/xtask/src/faults/cell.rs
+++ b/xtask/src/faults/cell.rs
@@ -116,6 +116,7 @@
     Ok(violations)
 }
 
+/// Starts sending requests through all nodes.
 fn send_requests(bed: &TestBed, method: &str, path: &str) -> JoinHandle<Summary> {
     let mut plan = bed.lookups(60.0, REQUEST_SECONDS);
     plan.method = method.into();
@@ -187,16 +188,20 @@
     Ok(0)
 }
 
+/// Freezes the first node with SIGSTOP for a while.
 async fn freeze(bed: &TestBed) -> anyhow::Result<()> {
     bed.nodes[0].signal("STOP")?;
     tokio::time::sleep(FREEZE_DURATION).await;
     bed.nodes[0].signal("CONT")
 }
 
+/// Returns the number of runs of a request over all endpoints.
 fn runs(bed: &TestBed, id: &str) -> u32 {
     bed.upstreams.iter().map(|it| it.runs().get(id).copied().unwrap_or(0)).sum()
 }
 
+/// Checks that no request ran twice, that no request ran whose caller was told otherwise, that no answer was
+/// crossed, and that some requests were answered.
 fn check_requests(bed: &TestBed, summary: &Summary, violations: &mut Vec<String>) {
     for id in bed.upstreams.iter().flat_map(|it| it.runs().into_keys()) {
         if runs(bed, &id) > 1 {
@@ -216,6 +221,7 @@
     }
 }
 
+/// Checks that downloads which appear complete are complete, and that enough downloads arrived.
 fn check_downloads(kind: Kind, got: Vec<Option<bytes::Bytes>>, violations: &mut Vec<String>) {
     let complete =
         got.iter().flatten().filter(|it| **it == download_bytes(0, DOWNLOAD_BYTES)).count();
@@ -233,6 +239,7 @@
     }
 }
 
+/// Returns the version that each node has in force.
 async fn in_force(bed: &TestBed) -> Vec<u64> {
     let mut all = Vec::new();
     for it in &bed.nodes {
@@ -270,6 +277,7 @@
     }
 }
 
+/// Checks that every node that answers keeps the floor of endpoints in rotation; leaving endpoints count, too.
 async fn check_floor(bed: &TestBed, violations: &mut Vec<String>) {
     for node in &bed.nodes {
         let Ok(report) = node.report().await else { continue };
--- a/xtask/src/measure/detect.rs
+++ b/xtask/src/measure/detect.rs
@@ -27,6 +27,7 @@
     ("answers lost", Fault::LoseAnswer, 1.0, 1.0),
 ];
 
+/// Figures of one fault in one dispatch mode.
 #[derive(Debug, Serialize)]
 struct Figures {
     mode: &'static str,
@@ -72,6 +73,7 @@
     Ok(())
 }
 
+/// Injects a fault `trials` times under load and measures its detection.
 async fn measure(
     bed: &TestBed,
     layout: &Layout,
--- a/xtask/src/measure/dispatch.rs
+++ b/xtask/src/measure/dispatch.rs
@@ -9,6 +9,7 @@
 /// Time for which each measurement sends requests, in seconds.
 const SECONDS: f64 = 8.0;
 
+/// Figures of one dispatch mode at one utilization.
 #[derive(Debug, Serialize)]
 struct Figures {
     mode: &'static str,
@@ -49,6 +50,7 @@
     super::write("dispatch", &all)
 }
 
+/// Measures a dispatch mode at one utilization.
 async fn measure(bed: &TestBed, layout: &Layout, used: f64) -> anyhow::Result<Figures> {
     let shed = bed.metric("dappleway_first_sends_shed_total").await?;
     let hedges = bed.metric("dappleway_hedges_total").await?;
--- a/xtask/src/measure/loss.rs
+++ b/xtask/src/measure/loss.rs
@@ -15,6 +15,7 @@
 /// Time from the start of the load to the loss.
 const TIME_BEFORE_LOSS: Duration = Duration::from_secs(2);
 
+/// Figures of one kind of loss.
 #[derive(Debug, Serialize)]
 struct Figures {
     loss: &'static str,
@@ -42,6 +43,7 @@
     super::write("loss", &all)
 }
 
+/// Measures one kind of loss of a dispatching node.
 async fn measure(mut bed: TestBed, loss: &'static str) -> anyhow::Result<Figures> {
     let layout = Layout::agenda("permits");
     caller::run(bed.lookups(layout.rate(0.4), 4.0)).await;
@@ -81,6 +83,7 @@
     anyhow::bail!("no node dispatches")
 }
 
+/// Injects the named loss of the node with index `lost`.
 async fn inject(bed: &mut TestBed, lost: usize, loss: &str) -> anyhow::Result<()> {
     let others: Vec<_> = bed.nodes.iter().map(|it| it.addrs.fleet).collect();
     match loss {
@@ -114,6 +117,7 @@
     Ok(sum)
 }
 
+/// Returns the slots that nodes chose without a dispatcher, summed over all nodes.
 async fn direct_slots(bed: &TestBed) -> f64 {
     let mut sum = 0.0;
     for it in &bed.nodes {
--- a/xtask/src/measure/path.rs
+++ b/xtask/src/measure/path.rs
@@ -18,12 +18,15 @@
 /// Number of idle connections.
 const IDLE_CONNECTIONS: usize = 1_000;
 
+/// Figures of a single node.
 #[derive(Debug, Serialize)]
 struct Figures {
     rate: f64,
-    /// p50, p99, p99.9 and maximum without a node; the next field has them through a node.
+    /// p50, p99, p99.9 and maximum latency of requests sent directly to the endpoints.
     straight_us: [u64; 4],
+    /// p50, p99, p99.9 and maximum latency of requests sent through the node.
     through_us: [u64; 4],
+    /// Differences of p50, p99 and p99.9.
     added_us: [i64; 3],
     /// Complete answers per second under overload.
     flooded_answers_per_second: f64,
@@ -72,6 +75,7 @@
     super::write("path", &figures)
 }
 
+/// Returns the addresses of the endpoints, as the node reports them.
 async fn endpoints(bed: &TestBed) -> anyhow::Result<Vec<std::net::SocketAddr>> {
     let report = bed.nodes[0].report().await?;
     let endpoints = report["services"][0]["endpoints"].as_array().cloned().unwrap_or_default();
--- a/xtask/src/measure/slopes.rs
+++ b/xtask/src/measure/slopes.rs
@@ -13,6 +13,7 @@
 /// Time without traffic over which costs are measured.
 const IDLE_TIME: Duration = Duration::from_secs(10);
 
+/// Figures of nodes as processes without traffic.
 #[derive(Debug, Serialize)]
 struct Processes {
     nodes: usize,
@@ -25,6 +26,7 @@
     in_force_ms: Vec<u64>,
 }
 
+/// Figures of the simulated exchange between nodes.
 #[derive(Debug, Serialize)]
 struct Exchange {
     nodes: usize,
@@ -37,6 +39,7 @@
     ready_ms: u64,
 }
 
+/// Figures of one node with a configuration of a given size.
 #[derive(Debug, Serialize)]
 struct Configuration {
     endpoints: usize,
@@ -49,6 +52,7 @@
     in_force_ms: u64,
 }
 
+/// Figures of nodes under traffic.
 #[derive(Debug, Serialize)]
 struct Traffic {
     requests_per_second: f64,
@@ -86,11 +90,13 @@
     Ok(())
 }
 
+/// Prints figures and returns them.
 fn printed<T: std::fmt::Debug>(figures: T) -> T {
     println!("{figures:?}");
     figures
 }
 
+/// Simulates the exchange between nodes in virtual time.
 fn exchange(nodes: usize) -> Exchange {
     let mut net = Net::new(nodes, 0.01);
     (0..nodes).for_each(|i| net.read_platform(i, 1));
@@ -120,6 +126,7 @@
     }
 }
 
+/// Measures nodes as processes without traffic, and the publication of versions.
 async fn processes(bin: &Path, nodes: usize) -> anyhow::Result<Processes> {
     let bed = TestBed::start(bin, &Layout { nodes, ..Layout::agenda("permits") }).await?;
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -146,6 +153,7 @@
     })
 }
 
+/// Returns the bytes of the exchange, summed over all nodes.
 async fn control_bytes(bed: &TestBed) -> anyhow::Result<f64> {
     let mut sum = 0.0;
     for it in &bed.nodes {
@@ -179,6 +187,7 @@
     })
 }
 
+/// Builds the resources of a configuration of the given size.
 fn documents(
     endpoints: usize,
     services: usize,
@@ -218,6 +227,7 @@
     Ok(all.into_iter().map(serde_json::from_value).collect::<Result<_, _>>()?)
 }
 
+/// Measures the cost of requests at several utilizations.
 async fn traffic(bin: &Path) -> anyhow::Result<Vec<Traffic>> {
     let layout = Layout::agenda("permits");
     let bed = TestBed::start(bin, &layout).await?;
@@ -240,6 +250,7 @@
     Ok(all)
 }
 
+/// Returns the bytes of the permit protocol, summed over all nodes.
 async fn permit_bytes(bed: &TestBed) -> anyhow::Result<f64> {
     let mut sum = 0.0;
     for it in &bed.nodes {
