--- a/crates/resources/src/tests.rs
+++ b/crates/resources/src/tests.rs
@@ -131,14 +131,14 @@
 }
 
 #[test]
-fn keys_and_allowances_that_cannot_be_are_refused_without_telling_them() {
+fn invalid_keys_and_allowances_are_refused_without_revealing_keys() {
     check_problems(
         r#"[{"kind":"Organisation","name":"a","keys":["key-1"],"rate_per_s":-1,"burst":-1e300},
             {"kind":"Organisation","name":"b","keys":["key-2","key-1"]}]"#,
         expect![[r#"
-            Organisation/a: rate_per_s: write a number from 0 on
-            Organisation/a: burst: write a number from 0 on
-            Organisation/b: keys: key 2 is held twice: give it to one"#]],
+            Organisation/a: rate_per_s: write a number of 0 or more
+            Organisation/a: burst: write a number of 0 or more
+            Organisation/b: keys: key 2 is held twice: give it to one organisation"#]],
     );
     let errors = [r#"[""]"#, r#"["blake3:key-1"]"#, r#"[{"key-1":1}]"#].map(|keys| {
         let text = format!(r#"{{"kind":"Organisation","name":"a","keys":{keys}}}"#);
--- a/crates/resources/src/validate.rs
+++ b/crates/resources/src/validate.rs
@@ -1,4 +1,4 @@
-//! Validation of a whole revision: all problems at once, each with its remedy.
+//! Validation of a complete configuration. Reports all problems at once, each with a remedy.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,22 +7,22 @@
 
 use crate::{Floor, KeyDigest, Organisation, Repeat, Resource, Route, Service};
 
-/// Largest count of endpoints in one service.
+/// Largest number of endpoints in one service.
 const MAX_ENDPOINTS: usize = 4_096;
 
-/// The field in which organisations list keys.
-const KEYS: &str = "keys";
+/// Name of the field in which organisations list their keys.
+const KEYS_FIELD: &str = "keys";
 
-/// One reason why a revision is refused.
+/// One problem of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Position of the resource in the revision.
+    /// Index of the resource in the configuration.
     pub position: usize,
     /// Kind and name of the resource, such as `Route/lookup`.
     pub resource: String,
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// What is wrong and what to write instead.
+    /// How to correct the field.
     pub remedy: String,
 }
 
@@ -32,10 +32,10 @@
     }
 }
 
-/// Returns every problem of the revision; an empty list means that it is valid.
+/// Returns all problems of a configuration; an empty list means that the configuration is valid.
 pub fn validate(resources: &[Resource]) -> Vec<Problem> {
     let mut cx = Validation::default();
-    cx.unique_names(resources);
+    cx.check_unique_names(resources);
     let services: FxHashMap<&str, &Service> = resources
         .iter()
         .filter_map(|it| match it {
@@ -47,19 +47,19 @@
     for (position, it) in resources.iter().enumerate() {
         cx.position = position;
         match it {
-            Resource::Service(service) => cx.service(service),
+            Resource::Service(service) => cx.check_service(service),
             Resource::Route(route) => {
-                cx.route(route, &services);
-                cx.unique_match(route, &mut matches);
+                cx.check_route(route, &services);
+                cx.check_unique_match(route, &mut matches);
             }
-            Resource::Organisation(org) => cx.organisation(it, org),
+            Resource::Organisation(org) => cx.check_organisation(it, org),
         }
     }
     cx.problems
 }
 
-/// Takes out what cannot be served and returns why. A route whose prefix is known stays, suspended: without it a shorter
-/// prefix would take its requests.
+/// Removes invalid resources and returns their problems. An invalid route is suspended instead of removed: without it, a
+/// route with a shorter prefix would match its requests. A suspended route that is still invalid is removed.
 pub fn sift(resources: &mut Vec<Resource>) -> Vec<Problem> {
     let mut left_out = Vec::new();
     loop {
@@ -67,17 +67,17 @@
         if problems.is_empty() {
             return left_out;
         }
-        if problems.iter().any(|it| it.field == KEYS) {
+        if problems.iter().any(|it| it.field == KEYS_FIELD) {
             drop_shared_keys(resources);
-            left_out.extend(problems.into_iter().filter(|it| it.field == KEYS));
+            left_out.extend(problems.into_iter().filter(|it| it.field == KEYS_FIELD));
             continue;
         }
-        let at_fault: BTreeSet<usize> = problems.iter().map(|it| it.position).collect();
-        for position in at_fault.into_iter().rev() {
+        let invalid: BTreeSet<usize> = problems.iter().map(|it| it.position).collect();
+        for position in invalid.into_iter().rev() {
             match &mut resources[position] {
                 Resource::Route(it) if !it.suspended => {
                     it.suspended = true;
-                    // Its own name may be what another resource has.
+                    // The original name may duplicate the name of another route.
                     it.name = format!("{}#{position}", it.name).into();
                 }
                 _ => drop(resources.remove(position)),
@@ -87,7 +87,8 @@
     }
 }
 
-/// Takes keys that several organisations hold from all of them: whose a request is must not depend on their order.
+/// Removes keys that several organisations hold from all of them. Otherwise the order of the organisations would decide
+/// which one a request belongs to.
 fn drop_shared_keys(resources: &mut [Resource]) {
     let mut seen = FxHashSet::default();
     let mut shared = FxHashSet::default();
@@ -110,9 +111,9 @@
 #[derive(Default)]
 struct Validation {
     problems: Vec<Problem>,
-    /// Of the resource that is looked at.
+    /// Index of the resource that is being validated.
     position: usize,
-    /// Keys of the organisations so far.
+    /// Keys of the organisations validated so far.
     keys: FxHashSet<KeyDigest>,
 }
 
@@ -123,7 +124,7 @@
         self.problems.push(Problem { position, resource, field, remedy: remedy.into() });
     }
 
-    fn unique_names(&mut self, resources: &[Resource]) {
+    fn check_unique_names(&mut self, resources: &[Resource]) {
         let mut seen = FxHashSet::default();
         for (position, it) in resources.iter().enumerate() {
             self.position = position;
@@ -136,98 +137,107 @@
         }
     }
 
-    /// Problems name a key by its place: its text is a secret, and its digest tells nobody which one it is.
-    fn organisation(&mut self, cx: &Resource, organisation: &Organisation) {
+    /// Checks an organisation. Problems refer to a key by its position in the list: its text is secret, and its digest
+    /// would not help operators to recognise the key.
+    fn check_organisation(&mut self, resource: &Resource, organisation: &Organisation) {
         if organisation.weight == 0 {
-            self.add(cx, "weight", "write 1 or more");
+            self.add(resource, "weight", "write 1 or more");
         }
         for (i, key) in organisation.keys.iter().enumerate() {
             if !self.keys.insert(*key) {
-                self.add(cx, KEYS, format!("key {} is held twice: give it to one", i + 1));
+                self.add(
+                    resource,
+                    KEYS_FIELD,
+                    format!("key {} is held twice: give it to one organisation", i + 1),
+                );
             }
         }
         for (field, value) in
             [("rate_per_s", organisation.rate_per_s), ("burst", organisation.burst)]
         {
             if !value.is_finite() || value < 0.0 {
-                self.add(cx, field, "write a number from 0 on");
+                self.add(resource, field, "write a number of 0 or more");
             }
         }
     }
 
-    fn service(&mut self, service: &Service) {
-        let cx = Resource::Service(service.clone());
+    fn check_service(&mut self, service: &Service) {
+        let resource = Resource::Service(service.clone());
         let total = service.endpoints.len();
         if total > MAX_ENDPOINTS {
-            self.add(&cx, "endpoints", format!("list {MAX_ENDPOINTS} endpoints at most"));
+            self.add(&resource, "endpoints", format!("list {MAX_ENDPOINTS} endpoints at most"));
         }
         let mut seen = FxHashSet::default();
         for it in &service.endpoints {
             if !seen.insert(&it.id) {
-                self.add(&cx, "endpoints", format!("`{}` is listed twice: remove one", it.id));
+                self.add(
+                    &resource,
+                    "endpoints",
+                    format!("`{}` is listed twice: remove one", it.id),
+                );
             }
             if it.failure_domain.is_empty() {
-                self.add(&cx, "endpoints", format!("{}: name its failure domain", it.addr));
+                self.add(&resource, "endpoints", format!("{}: name its failure domain", it.addr));
             }
         }
         if let Floor::Count(n) = service.floor
             && n as usize > total
             && total > 0
         {
-            self.add(&cx, "floor", format!("{n} is above the {total} endpoints: lower it"));
+            self.add(&resource, "floor", format!("{n} is above the {total} endpoints: lower it"));
         }
         if !service.cold_rate_per_s.is_finite() || service.cold_rate_per_s < 0.0 {
-            self.add(&cx, "cold_rate_per_s", "write a number from 0 on");
+            self.add(&resource, "cold_rate_per_s", "write a number of 0 or more");
         }
         if service.slots == 0 {
-            self.add(&cx, "slots", "write 1 or more");
+            self.add(&resource, "slots", "write 1 or more");
         }
         if service.connections < service.slots {
-            self.add(&cx, "connections", "write at least as many connections as slots");
+            self.add(&resource, "connections", "write at least as many connections as slots");
         }
     }
 
-    fn route(&mut self, route: &Route, services: &FxHashMap<&str, &Service>) {
-        let cx = Resource::Route(route.clone());
+    fn check_route(&mut self, route: &Route, services: &FxHashMap<&str, &Service>) {
+        let resource = Resource::Route(route.clone());
         if route.suspended {
-            return self.prefix(&cx, route);
+            return self.check_prefix(&resource, route);
         }
         for (service, weight) in route.shares() {
             if !services.contains_key(service.as_str()) {
-                self.add(&cx, "service", format!("publish a Service `{service}`"));
+                self.add(&resource, "service", format!("publish a Service `{service}`"));
             }
             if weight == 0 {
-                self.add(&cx, "split", format!("give `{service}` a weight of 1 or more"));
+                self.add(&resource, "split", format!("give `{service}` a weight of 1 or more"));
             }
         }
         if !route.split.is_empty() && !route.service.is_empty() {
-            self.add(&cx, "split", "write either `service` or `split`");
+            self.add(&resource, "split", "write either `service` or `split`");
         }
-        self.prefix(&cx, route);
+        self.check_prefix(&resource, route);
         if route.max_sends == 0 {
-            self.add(&cx, "max_sends", "write 1 or more");
+            self.add(&resource, "max_sends", "write 1 or more");
         }
         if route.deadline_ms == 0 {
-            self.add(&cx, "deadline_ms", "write 1 or more");
+            self.add(&resource, "deadline_ms", "write 1 or more");
         }
         if route.hedge && route.repeat != Repeat::Anytime {
-            self.add(&cx, "hedge", "write `repeat = \"anytime\"` or `hedge = false`");
+            self.add(&resource, "hedge", "write `repeat = \"anytime\"` or `hedge = false`");
         }
         if route.methods.iter().any(|it| it.is_empty() || *it != it.to_uppercase()) {
-            self.add(&cx, "methods", "write methods in upper case");
+            self.add(&resource, "methods", "write methods in upper case");
         }
     }
 
-    fn prefix(&mut self, cx: &Resource, route: &Route) {
+    fn check_prefix(&mut self, resource: &Resource, route: &Route) {
         if !route.path.starts_with('/') {
-            self.add(cx, "path", "start it with `/`");
+            self.add(resource, "path", "start it with `/`");
         }
         if route.path.contains("//") {
-            self.add(cx, "path", "drop the empty segment: prefixes match whole segments");
+            self.add(resource, "path", "drop the empty segment: prefixes match whole segments");
         }
     }
 
-    fn unique_match(&mut self, route: &Route, seen: &mut FxHashSet<String>) {
+    fn check_unique_match(&mut self, route: &Route, seen: &mut FxHashSet<String>) {
         let methods = match route.methods.is_empty() {
             true => vec!["*".to_owned()],
             false => route.methods.clone(),
@@ -235,9 +245,9 @@
         let host = route.host.as_deref().unwrap_or("*");
         for method in methods {
             if !seen.insert(format!("{method} {host} {}", route.path)) {
-                let cx = Resource::Route(route.clone());
+                let resource = Resource::Route(route.clone());
                 self.add(
-                    &cx,
+                    &resource,
                     "path",
                     format!("{method} {host}{} is taken by another route", route.path),
                 );
