--- a/crates/caller/src/identity.rs
+++ b/crates/caller/src/identity.rs
@@ -81,7 +81,7 @@
         names: &HeaderNames,
         headers: &HeaderMap,
     ) -> Result<Self, Denied> {
-        if !callers.need_keys() {
+        if !callers.require_keys() {
             return Ok(Self::by_name(callers, names, headers));
         }
         let key = match key_of(names, headers) {
@@ -141,7 +141,7 @@
 
     /// Puts the organisation's name in place of what the caller has written.
     pub(crate) fn introduce(&self, callers: &Callers, names: &HeaderNames, out: &mut HeaderMap) {
-        if !callers.need_keys() {
+        if !callers.require_keys() {
             return;
         }
         out.remove(&names.api_key);
--- a/crates/resources/src/callers.rs
+++ b/crates/resources/src/callers.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether callers must send an API key.
-    pub fn need_keys(&self) -> bool {
+    pub fn require_keys(&self) -> bool {
         self.access == Access::Keys
     }
 
--- a/crates/resources/src/tests.rs
+++ b/crates/resources/src/tests.rs
@@ -112,7 +112,7 @@
     let name = |key: &str| {
         config.callers.by_key(KeyDigest::of(key.as_bytes())).map(|it| it.name.to_string())
     };
-    assert!(config.callers.need_keys());
+    assert!(config.callers.require_keys());
     assert_eq!(name("key-2").as_deref(), Some("a"));
     assert_eq!(name("key-3").as_deref(), Some("b"));
     assert_eq!(name("key-4"), None);
