--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -47,7 +47,7 @@
             yield_now().await;
         }
         let document = Some(Document { version: 1, ..Document::default() });
-        urgent.send(Event::Read(Published::only(document), 1)).unwrap();
+        urgent.send(Event::Read(Published::configuration_only(document), 1)).unwrap();
     });
     let running = tokio::spawn(control.run(received, urgent_received));
     let mut answered_before = 0;
--- a/crates/fleet/src/bundle.rs
+++ b/crates/fleet/src/bundle.rs
@@ -103,7 +103,7 @@
                 unreadable: None,
                 endpoints: it.endpoints,
             },
-            None => Published::only(document),
+            None => Published::configuration_only(document),
         })
     }
 }
--- a/crates/resources/src/document.rs
+++ b/crates/resources/src/document.rs
@@ -174,7 +174,7 @@
 
 impl Published {
     /// Returns an update that contains only a configuration and no information about the registry.
-    pub fn only(document: Option<Document>) -> Self {
+    pub fn configuration_only(document: Option<Document>) -> Self {
         Self { after: Some(Position::START), document, ..Self::default() }
     }
 }
