--- a/crates/caller/tests/suspended.rs
+++ b/crates/caller/tests/suspended.rs
@@ -46,7 +46,7 @@
     }
 
     async fn acquire(&self, _: Want) -> Result<Granted, Refused> {
-        clock::suspend(Duration::from_secs(60));
+        clock::simulate_suspension(Duration::from_secs(60));
         Ok(Granted(self.0.clone()))
     }
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -76,6 +76,6 @@
 }
 
 /// Plays a suspension of the machine, for tests: this clock goes on by `length`, and the steady one does not.
-pub fn suspend(length: Duration) {
+pub fn simulate_suspension(length: Duration) {
     SUSPENDED.fetch_add(length.as_micros() as u64, Ordering::Relaxed);
 }
--- a/crates/clock/tests/suspended.rs
+++ b/crates/clock/tests/suspended.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use clock::{Moment, sleep_until, suspend, timeout_at};
+use clock::{Moment, simulate_suspension, sleep_until, timeout_at};
 
 const HOUR: Duration = Duration::from_secs(3_600);
 
@@ -16,7 +16,7 @@
         tokio::join!(
             sleep_until(deadline),
             timeout_at(deadline, std::future::pending::<()>()),
-            async { suspend(HOUR) }
+            async { simulate_suspension(HOUR) }
         )
     };
     let (_, timed_out, ()) = waits.await;
--- a/crates/dappleway/src/control/tests.rs
+++ b/crates/dappleway/src/control/tests.rs
@@ -101,7 +101,7 @@
     let mut control = control(urgent).await;
     let before = control.now();
     control.tick(before);
-    clock::suspend(Duration::from_secs(5));
+    clock::simulate_suspension(Duration::from_secs(5));
     let now = control.now();
     control.notice_pause(now);
     assert!(now.since(before) >= Duration::from_secs(5));
--- a/crates/upstream/tests/suspended.rs
+++ b/crates/upstream/tests/suspended.rs
@@ -34,7 +34,7 @@
     for _ in 0..TURNS {
         yield_now().await;
     }
-    clock::suspend(Duration::from_secs(60));
+    clock::simulate_suspension(Duration::from_secs(60));
 
     let req = Request::get("/").header("host", "h").body(Full::default()).unwrap();
     let send = tokio::spawn({
