--- a/crates/dappleway/src/node.rs
+++ b/crates/dappleway/src/node.rs
@@ -10,7 +10,7 @@
 use fleet::{
     Backlog, Bundle, Client, Edge, Exchange, Identity, Keys, NodeInfo, ServedFetch, serve_fetches,
 };
-use operator::{Access, Cut, Token, View};
+use operator::{Access, ApiContext, Cut, Token};
 use platform::{ServiceDefaults, Store, header_names};
 use prometheus::Registry;
 use rand::rngs::StdRng;
@@ -187,7 +187,7 @@
         .then(|| forward(events.clone(), |cut: Cut| Event::Cut(cut.to)));
     let reports = forward(events.clone(), Event::Report);
     let access = Access { token };
-    let view = View { published, not_ready, reports, registry, access, faults };
+    let view = ApiContext { published, not_ready, reports, registry, access, faults };
     let server = operator::serve(settings.operator.listen, view, &log.new(slog::o!()))
         .map_err(|it| anyhow!("{it}: choose a free `operator.listen`"))?;
     tokio::spawn(server);
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -10,7 +10,7 @@
 pub use client::{Client, ClientError};
 pub use report::{EndpointReport, MemberReport, OrganisationReport, Report, ServiceReport};
 pub use server::{
-    Cut, Published, ResourceStatus, ResourceView, Resources, View, api_description, serve,
+    ApiContext, Cut, Published, ResourceStatus, ResourceView, Resources, api_description, serve,
 };
 
 #[cfg(test)]
--- a/crates/operator/src/server.rs
+++ b/crates/operator/src/server.rs
@@ -32,7 +32,7 @@
 
 /// What the API reads. The node writes to the other ends.
 #[derive(Clone)]
-pub struct View {
+pub struct ApiContext {
     /// What is in force.
     pub published: watch::Receiver<Published>,
     /// Why the node is not ready; nothing if it is.
@@ -115,7 +115,7 @@
 }
 
 /// All endpoints of the API.
-pub fn api_description() -> ApiDescription<View> {
+pub fn api_description() -> ApiDescription<ApiContext> {
     let mut api = ApiDescription::new();
     let registered = api
         .register(live)
@@ -132,7 +132,11 @@
 }
 
 /// Starts the server; it must be polled by a runtime.
-pub fn serve(addr: SocketAddr, view: View, log: &Logger) -> Result<HttpServer<View>, String> {
+pub fn serve(
+    addr: SocketAddr,
+    view: ApiContext,
+    log: &Logger,
+) -> Result<HttpServer<ApiContext>, String> {
     let config = ConfigDropshot { bind_address: addr, ..ConfigDropshot::default() };
     // The balancer asks every second; a line for each question would drown the others.
     let quiet = slog::LevelFilter::new(log.clone(), slog::Level::Warning);
@@ -144,27 +148,27 @@
 
 /// Whether the process runs.
 #[endpoint { method = GET, path = "/v1/live" }]
-async fn live(_cx: RequestContext<View>) -> Result<HttpResponseOk<Alive>, HttpError> {
+async fn live(_cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Alive>, HttpError> {
     Ok(HttpResponseOk(Alive { alive: true }))
 }
 
 /// Whether the node should get traffic; if not, the answer is 503 with the reason.
 #[endpoint { method = GET, path = "/v1/ready" }]
-async fn ready(cx: RequestContext<View>) -> Result<HttpResponseOk<Ready>, HttpError> {
+async fn ready(cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Ready>, HttpError> {
     readiness(&cx)
 }
 
 /// The same, where balancers usually look.
 #[endpoint { method = GET, path = "/readyz" }]
-async fn readyz(cx: RequestContext<View>) -> Result<HttpResponseOk<Ready>, HttpError> {
+async fn readyz(cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Ready>, HttpError> {
     readiness(&cx)
 }
 
-fn allow(cx: &RequestContext<View>) -> Result<(), HttpError> {
+fn allow(cx: &RequestContext<ApiContext>) -> Result<(), HttpError> {
     Ok(cx.context().access.check(cx.request.headers(), cx.request.remote_addr())?)
 }
 
-fn readiness(cx: &RequestContext<View>) -> Result<HttpResponseOk<Ready>, HttpError> {
+fn readiness(cx: &RequestContext<ApiContext>) -> Result<HttpResponseOk<Ready>, HttpError> {
     match &*cx.context().not_ready.borrow() {
         None => Ok(HttpResponseOk(Ready { ready: true })),
         Some(reason) => Err(HttpError::for_unavail(None, reason.clone()).with_reason(reason)),
@@ -174,7 +178,7 @@
 /// Documents in force.
 #[endpoint { method = GET, path = "/v1/resources" }]
 async fn list(
-    cx: RequestContext<View>,
+    cx: RequestContext<ApiContext>,
     query: Query<Filter>,
 ) -> Result<HttpResponseOk<Resources>, HttpError> {
     allow(&cx)?;
@@ -186,7 +190,7 @@
 /// One document in force.
 #[endpoint { method = GET, path = "/v1/resources/{kind}/{name}" }]
 async fn get(
-    cx: RequestContext<View>,
+    cx: RequestContext<ApiContext>,
     path: Path<Named>,
 ) -> Result<HttpResponseOk<ResourceView>, HttpError> {
     allow(&cx)?;
@@ -202,7 +206,7 @@
 /// Waits for a newer configuration and returns the documents then in force.
 #[endpoint { method = GET, path = "/v1/watch" }]
 async fn watch_resources(
-    cx: RequestContext<View>,
+    cx: RequestContext<ApiContext>,
     query: Query<After>,
 ) -> Result<HttpResponseOk<Resources>, HttpError> {
     allow(&cx)?;
@@ -217,7 +221,7 @@
 
 /// The fleet as this node sees it.
 #[endpoint { method = GET, path = "/v1/fleet" }]
-async fn fleet(cx: RequestContext<View>) -> Result<HttpResponseOk<Report>, HttpError> {
+async fn fleet(cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Report>, HttpError> {
     allow(&cx)?;
     Ok(HttpResponseOk(cx.context().report().await?))
 }
@@ -225,7 +229,7 @@
 /// Induces a cut between nodes, for failure tests. Refused unless the settings allow it.
 #[endpoint { method = PUT, path = "/v1/faults/cut" }]
 async fn put_cut(
-    cx: RequestContext<View>,
+    cx: RequestContext<ApiContext>,
     cut: TypedBody<Cut>,
 ) -> Result<HttpResponseOk<Cut>, HttpError> {
     allow(&cx)?;
@@ -245,7 +249,7 @@
 
 /// Metrics in the prometheus text format.
 #[endpoint { method = GET, path = "/metrics" }]
-async fn metrics(cx: RequestContext<View>) -> Result<Response<Body>, HttpError> {
+async fn metrics(cx: RequestContext<ApiContext>) -> Result<Response<Body>, HttpError> {
     let mut buf = Vec::new();
     TextEncoder::new()
         .encode(&cx.context().registry.gather(), &mut buf)
@@ -254,7 +258,7 @@
     res.body(Body::from(buf)).map_err(|it| HttpError::for_internal_error(it.to_string()))
 }
 
-impl View {
+impl ApiContext {
     async fn report(&self) -> Result<Report, HttpError> {
         let (tx, rx) = oneshot::channel();
         let _ = self.reports.send(tx);
