--- a/crates/caller/src/identity.rs
+++ b/crates/caller/src/identity.rs
@@ -7,7 +7,7 @@
 
 use http::{HeaderMap, HeaderValue, StatusCode};
 use policy::stable_hash;
-use resources::{Callers, KeyDigest, Name, Organisation, Priority, Route};
+use resources::{KeyDigest, Name, Organisation, OrganisationIndex, Priority, Route};
 
 use crate::headers::HeaderNames;
 
@@ -76,20 +76,20 @@
 impl Caller {
     /// Finds out who makes a request of a route.
     pub(crate) fn of(
-        callers: &Callers,
+        organisations: &OrganisationIndex,
         route: &Route,
         names: &HeaderNames,
         headers: &HeaderMap,
     ) -> Result<Self, Denied> {
-        if !callers.require_keys() {
-            return Ok(Self::by_name(callers, names, headers));
+        if !organisations.require_keys() {
+            return Ok(Self::by_name(organisations, names, headers));
         }
         let key = match key_of(names, headers) {
             Ok(key) => key,
             Err(_) if route.public => return Ok(Self::default()),
             Err(denied) => return Err(denied),
         };
-        match callers.by_key(key) {
+        match organisations.by_key(key) {
             Some(it) => Ok(Self::with_key(it.clone(), key)),
             None if route.public => Ok(Self::default()),
             None => Err(Denied::UnknownKey),
@@ -97,9 +97,13 @@
     }
 
     /// Where access is open callers say who they are.
-    fn by_name(callers: &Callers, names: &HeaderNames, headers: &HeaderMap) -> Self {
+    fn by_name(
+        organisations: &OrganisationIndex,
+        names: &HeaderNames,
+        headers: &HeaderMap,
+    ) -> Self {
         let name = headers.get(&names.organisation).and_then(|it| it.to_str().ok()).unwrap_or("");
-        let organisation = callers.by_name(name).cloned();
+        let organisation = organisations.by_name(name).cloned();
         Self { organisation, key: None, hash: stable_hash(name.as_bytes()) }
     }
 
@@ -134,14 +138,19 @@
     }
 
     /// Whether its key is still held by the same organisation. Nothing is sent under a key that was taken away.
-    pub(crate) fn is_known_to(&self, callers: &Callers) -> bool {
+    pub(crate) fn is_known_to(&self, organisations: &OrganisationIndex) -> bool {
         let Some(key) = self.key else { return true };
-        callers.by_key(key).is_some_and(|it| it.name == self.name())
+        organisations.by_key(key).is_some_and(|it| it.name == self.name())
     }
 
     /// Puts the organisation's name in place of what the caller has written.
-    pub(crate) fn introduce(&self, callers: &Callers, names: &HeaderNames, out: &mut HeaderMap) {
-        if !callers.require_keys() {
+    pub(crate) fn introduce(
+        &self,
+        organisations: &OrganisationIndex,
+        names: &HeaderNames,
+        out: &mut HeaderMap,
+    ) {
+        if !organisations.require_keys() {
             return;
         }
         out.remove(&names.api_key);
--- a/crates/caller/src/tests/identity.rs
+++ b/crates/caller/src/tests/identity.rs
@@ -1,7 +1,7 @@
 //! Whose a request is, by what its caller shows.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
-use resources::{Access, Callers, Config, Document};
+use resources::{Access, Config, Document, OrganisationIndex};
 
 use super::names;
 use crate::identity::{Caller, Denied};
@@ -37,11 +37,11 @@
 ) {
     let route = config.routes.find("", path, "GET").unwrap();
     let headers = headers(shown);
-    let caller = Caller::of(&config.callers, route, &names(), &headers);
+    let caller = Caller::of(&config.organisations, route, &names(), &headers);
     assert_eq!(caller.as_ref().map(Caller::name).map_err(|it| *it), expected, "{shown:?}");
     let Ok(caller) = caller else { return };
     let mut out = headers;
-    caller.introduce(&config.callers, &names(), &mut out);
+    caller.introduce(&config.organisations, &names(), &mut out);
     let told = out.get("x-organisation").map(|it| it.to_str().unwrap());
     assert_eq!(told.unwrap_or(""), expected.unwrap(), "{shown:?}");
     assert!(!out.contains_key("x-key"), "{shown:?}");
@@ -76,9 +76,9 @@
     let config = config(Access::Keys);
     let route = config.routes.find("", "/c", "GET").unwrap();
     let headers = headers(&[("x-key", b"key-a")]);
-    let caller = Caller::of(&config.callers, route, &names(), &headers).unwrap();
+    let caller = Caller::of(&config.organisations, route, &names(), &headers).unwrap();
     assert_eq!((caller.weight(), caller.is_limited()), (3, true));
     assert_eq!(caller.priority(), Some(resources::Priority(0)));
-    assert!(caller.is_known_to(&config.callers));
-    assert!(!caller.is_known_to(&Callers::default()), "its key was taken away");
+    assert!(caller.is_known_to(&config.organisations));
+    assert!(!caller.is_known_to(&OrganisationIndex::default()), "its key was taken away");
 }
--- a/crates/caller/src/work.rs
+++ b/crates/caller/src/work.rs
@@ -83,14 +83,15 @@
         if route.suspended {
             return Err(NoWork::Suspended);
         }
-        let callers = &snapshot.config.callers;
-        let caller = Caller::of(callers, route, &cx.names, req.headers()).map_err(|denied| {
-            let gap = gap.filter(|_| denied.depends_on_configuration());
-            gap.unwrap_or(NoWork::Denied(denied))
-        })?;
+        let organisations = &snapshot.config.organisations;
+        let caller =
+            Caller::of(organisations, route, &cx.names, req.headers()).map_err(|denied| {
+                let gap = gap.filter(|_| denied.depends_on_configuration());
+                gap.unwrap_or(NoWork::Denied(denied))
+            })?;
         let span = Span::of(req.headers());
         let mut out = onward_headers(&cx.names, req, &span);
-        caller.introduce(callers, &cx.names, &mut out);
+        caller.introduce(organisations, &cx.names, &mut out);
         let limit = Duration::from_millis(route.deadline_ms.into());
         let left = headers::deadline_of(&cx.names, &out).map_or(limit, |it| it.min(limit));
         let deadline = Moment::now() + left;
@@ -128,7 +129,7 @@
     pub(crate) fn may_be_sent<D>(&self, cx: &Cx<D>) -> bool {
         let current = cx.shared.load();
         current.config.version == self.snapshot.config.version
-            || self.caller.is_known_to(&current.config.callers)
+            || self.caller.is_known_to(&current.config.organisations)
     }
 
     pub(crate) fn left(&self) -> Duration {
--- a/crates/dappleway/src/control/allowances.rs
+++ b/crates/dappleway/src/control/allowances.rs
@@ -9,7 +9,7 @@
 };
 use operator::OrganisationReport;
 use policy::{Decision, Entrusted, NodeId, Time, owner_of, owners};
-use resources::{Allowance, Callers, Name};
+use resources::{Allowance, Name, OrganisationIndex};
 use rustc_hash::FxHashMap;
 use slog::{info, warn};
 use tokio::sync::oneshot;
@@ -74,8 +74,8 @@
     }
 
     /// Follows a configuration that has come into force.
-    pub(super) fn reconfigure(&mut self, callers: &Callers) {
-        let limited = callers.iter().filter_map(|it| {
+    pub(super) fn reconfigure(&mut self, organisations: &OrganisationIndex) {
+        let limited = organisations.iter().filter_map(|it| {
             let allowance = it.allowance()?;
             let limited = Limited { name: it.name.clone(), allowance, refused_before: 0 };
             Some((name_hash(&it.name), limited))
--- a/crates/dappleway/src/control/publications.rs
+++ b/crates/dappleway/src/control/publications.rs
@@ -111,7 +111,7 @@
         self.in_force_since = now;
         self.exchange.replica_mut().accept(Arc::new(document.clone()));
         self.services.reconfigure(now, &config);
-        self.allowances.reconfigure(&config.callers);
+        self.allowances.reconfigure(&config.organisations);
         self.outputs.shared.publish(config);
         let resources = Arc::new(document.resources.clone());
         self.outputs.published.send_replace(InForce { version, resources });
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -3,15 +3,14 @@
 //! Every function is pure: all nodes and `dappleway check` run the same code and therefore accept or reject the same
 //! configurations. This crate must not depend on I/O, clocks or threads.
 
-mod callers;
 mod document;
 mod key;
 mod model;
+mod organisation_index;
 mod routing;
 mod source;
 mod validate;
 
-pub use callers::Callers;
 pub use document::{
     Access, CallerLimits, Document, Position, Published, Registration, RegistryChange,
     RegistryEntry,
@@ -21,6 +20,7 @@
     Allowance, Bias, Endpoint, Floor, Name, Organisation, Priority, Repeat, Resource, Route,
     Service, Share, Standing,
 };
+pub use organisation_index::OrganisationIndex;
 pub use routing::{Config, RouteTable};
 pub use source::{Source, SourceError};
 pub use validate::{Problem, sift, validate};
--- a/crates/resources/src/callers.rs
+++ b/crates/resources/src/organisation_index.rs
@@ -9,7 +9,7 @@
 /// Index of organisations. A look-up by key costs one digest and usually one hash probe, regardless of the number of
 /// organisations.
 #[derive(Debug, Default)]
-pub struct Callers {
+pub struct OrganisationIndex {
     access: Access,
     organisations: Vec<Arc<Organisation>>,
     by_name: FxHashMap<Name, u32>,
@@ -17,7 +17,7 @@
     by_key: FxHashMap<u64, u32>,
 }
 
-impl Callers {
+impl OrganisationIndex {
     /// Creates an empty index.
     pub(crate) fn new(access: Access) -> Self {
         Self { access, ..Self::default() }
--- a/crates/resources/src/routing.rs
+++ b/crates/resources/src/routing.rs
@@ -5,7 +5,9 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::{CallerLimits, Callers, Document, Name, Problem, Resource, Route, Service, validate};
+use crate::{
+    CallerLimits, Document, Name, OrganisationIndex, Problem, Resource, Route, Service, validate,
+};
 
 /// A valid configuration, indexed for serving requests.
 #[derive(Debug, Default)]
@@ -21,7 +23,7 @@
     /// Routes by host, path and method.
     pub routes: RouteTable,
     /// Organisations by name and by API key.
-    pub callers: Callers,
+    pub organisations: OrganisationIndex,
     /// The resources as published.
     pub resources: Vec<Resource>,
 }
@@ -34,16 +36,16 @@
         if !problems.is_empty() {
             return Err(problems);
         }
-        let callers = Callers::new(access);
+        let organisations = OrganisationIndex::new(access);
         let is_partial = !left_out.is_empty();
-        let mut config = Self { version, is_partial, limits, callers, ..Self::default() };
+        let mut config = Self { version, is_partial, limits, organisations, ..Self::default() };
         for it in &resources {
             match it {
                 Resource::Service(it) => {
                     config.services.insert(it.name.clone(), Arc::new(it.clone()));
                 }
                 Resource::Route(it) => config.routes.insert(Arc::new(it.clone())),
-                Resource::Organisation(it) => config.callers.insert(Arc::new(it.clone())),
+                Resource::Organisation(it) => config.organisations.insert(Arc::new(it.clone())),
             }
         }
         config.resources = resources;
--- a/crates/resources/src/tests.rs
+++ b/crates/resources/src/tests.rs
@@ -110,15 +110,15 @@
 fn organisations_are_found_by_their_keys() {
     let config = keyed(ORGANISATIONS);
     let name = |key: &str| {
-        config.callers.by_key(KeyDigest::of(key.as_bytes())).map(|it| it.name.to_string())
+        config.organisations.by_key(KeyDigest::of(key.as_bytes())).map(|it| it.name.to_string())
     };
-    assert!(config.callers.require_keys());
+    assert!(config.organisations.require_keys());
     assert_eq!(name("key-2").as_deref(), Some("a"));
     assert_eq!(name("key-3").as_deref(), Some("b"));
     assert_eq!(name("key-4"), None);
-    let a = config.callers.by_name("a").unwrap();
+    let a = config.organisations.by_name("a").unwrap();
     assert_eq!((a.weight, a.allowance().map(|it| it.burst)), (2, Some(5.0)));
-    assert_eq!(config.callers.by_name("b").unwrap().allowance(), None);
+    assert_eq!(config.organisations.by_name("b").unwrap().allowance(), None);
 }
 
 #[test]
