--- a/crates/clock/tests/suspended.rs
+++ b/crates/clock/tests/suspended.rs
@@ -1,4 +1,4 @@
-//! A suspension counts as time, and waits that began before it end soon after it.
+//! A suspension counts as elapsed time, and waits that began before a suspension end soon after it.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 #[tokio::test]
 async fn a_suspension_counts_and_ends_waits() {
-    let steady = Instant::now();
+    let monotonic = Instant::now();
     let start = Moment::now();
     let deadline = start + HOUR;
     assert!(start.elapsed() < HOUR / 2);
@@ -22,6 +22,10 @@
     let (_, timed_out, ()) = waits.await;
     assert!(timed_out.is_none());
     assert!(start.elapsed() >= HOUR && deadline.left().is_zero());
-    assert!(steady.elapsed() < HOUR / 2, "the steady clock stood still");
-    assert_eq!(timeout_at(deadline, std::future::ready(1)).await, Some(1), "what is ready is had");
+    assert!(monotonic.elapsed() < HOUR / 2, "the monotonic clock must not advance");
+    assert_eq!(
+        timeout_at(deadline, std::future::ready(1)).await,
+        Some(1),
+        "a ready future completes after the deadline"
+    );
 }
