--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -1,4 +1,4 @@
-//! A typed client of the API: one request on a connection of its own.
+//! A typed client of the API. Each request uses its own connection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,33 +16,33 @@
 
 use crate::{Report, ResourceView, Resources};
 
-/// Time for a connection to come up: nodes are on the same network.
-const CONNECT: Duration = Duration::from_secs(3);
-/// Time for an answer, a watch aside.
-const ANSWER: Duration = Duration::from_secs(10);
+/// Limit for establishing a connection; clients and nodes are on the same network.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Limit for an answer. For a watch, the requested wait is added.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No connection.
+    /// The connection could not be established.
     #[error("{0} cannot be reached ({1}): check the address of the node's `operator.listen`")]
     Connect(SocketAddr, std::io::Error),
-    /// No answer in time.
-    #[error("{0} did not answer within {1:?}: ask another node")]
+    /// The node did not answer within the limit.
+    #[error("{0} did not answer within {1:?}: try another node")]
     Timeout(SocketAddr, Duration),
-    /// The connection broke.
-    #[error("{0} broke off ({1}): ask again")]
+    /// The connection broke before the answer was complete.
+    #[error("the connection to {0} broke ({1}): try again")]
     Broken(SocketAddr, hyper::Error),
-    /// The node refuses.
+    /// The node refused the request.
     #[error("{message} ({status})")]
     Refused {
-        /// Its status.
+        /// Status of the answer.
         status: StatusCode,
-        /// What it says.
+        /// The node's error message.
         message: String,
     },
-    /// The answer is of another version.
-    #[error("the answer cannot be read ({0}): use the program of the node's version")]
+    /// The answer cannot be parsed, probably because the node runs another version.
+    #[error("the answer cannot be parsed ({0}): use the same program version as the node")]
     Syntax(#[from] serde_json::Error),
 }
 
@@ -51,11 +51,11 @@
 pub struct Client {
     /// Address of the node's API.
     pub addr: SocketAddr,
-    /// Text of its token, if it has one.
+    /// The node's token, if it requires one.
     pub token: Option<String>,
 }
 
-/// What the API says of an error.
+/// Body of an error answer.
 #[derive(Debug, Default, Deserialize)]
 struct ErrorBody {
     #[serde(default)]
@@ -63,26 +63,26 @@
 }
 
 impl Client {
-    /// Documents in force, all or of one kind.
+    /// Returns the resources in force, either all or those of one kind.
     pub async fn resources(&self, kind: Option<&str>) -> Result<Resources, ClientError> {
         let query = kind.map_or(String::new(), |it| format!("?kind={it}"));
-        self.get(&format!("/v1/resources{query}"), ANSWER).await
+        self.get(&format!("/v1/resources{query}"), ANSWER_TIMEOUT).await
     }
 
-    /// One document in force.
+    /// Returns one resource in force.
     pub async fn resource(&self, kind: &str, name: &str) -> Result<ResourceView, ClientError> {
-        self.get(&format!("/v1/resources/{kind}/{name}"), ANSWER).await
+        self.get(&format!("/v1/resources/{kind}/{name}"), ANSWER_TIMEOUT).await
     }
 
-    /// Waits until a version above `after` is in force, or `wait` has passed.
+    /// Waits until a version above `after` is in force or `wait` has passed, and returns the resources then in force.
     pub async fn watch(&self, after: u64, wait: Duration) -> Result<Resources, ClientError> {
         let path = format!("/v1/watch?after={after}&wait_ms={}", wait.as_millis());
-        self.get(&path, wait + ANSWER).await
+        self.get(&path, wait + ANSWER_TIMEOUT).await
     }
 
-    /// The fleet as the node sees it.
+    /// Returns the node's report about the fleet.
     pub async fn fleet(&self) -> Result<Report, ClientError> {
-        self.get("/v1/fleet", ANSWER).await
+        self.get("/v1/fleet", ANSWER_TIMEOUT).await
     }
 
     async fn get<T: DeserializeOwned>(
@@ -95,18 +95,18 @@
         if status.is_success() {
             return Ok(serde_json::from_slice(&body)?);
         }
-        // An answer that is none of the API's own has no message.
+        // An answer that did not come from the API has no message.
         let error: ErrorBody = serde_json::from_slice(&body).unwrap_or_default();
         Err(ClientError::Refused { status, message: error.message })
     }
 
     async fn exchange(&self, path: &str) -> Result<(StatusCode, Bytes), ClientError> {
         let broken = |it| ClientError::Broken(self.addr, it);
-        let stream = timeout(CONNECT, TcpStream::connect(self.addr)).await;
-        let stream = stream.map_err(|_| ClientError::Timeout(self.addr, CONNECT))?;
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await;
+        let stream = stream.map_err(|_| ClientError::Timeout(self.addr, CONNECT_TIMEOUT))?;
         let stream = stream.map_err(|it| ClientError::Connect(self.addr, it))?;
         let (mut tx, conn) = http1::handshake(TokioIo::new(stream)).await.map_err(broken)?;
-        // How the connection ends shows in the answer.
+        // Connection errors are also reported by the request below.
         tokio::spawn(conn);
         let mut req = Request::get(path).header(HOST, self.addr.to_string());
         if let Some(token) = &self.token {
@@ -114,7 +114,7 @@
         }
         let req = req.body(Empty::<Bytes>::new()).map_err(|it| ClientError::Refused {
             status: StatusCode::BAD_REQUEST,
-            message: format!("{it}: write names without blanks"),
+            message: format!("{it}: write names without spaces"),
         })?;
         let res = tx.send_request(req).await.map_err(broken)?;
         let status = res.status();
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,5 +1,6 @@
-//! The API for operators: resources with spec and status, watches, the fleet report, liveness,
-//! readiness and metrics. It reads what the node publishes here and must not know traffic internals.
+//! The API for operators: resources with spec and status, watches, the fleet report, liveness, readiness and metrics.
+//! The API reads only the data that the node provides in an `ApiContext` and must not depend on how the node processes
+//! requests.
 
 mod access;
 mod client;
--- a/crates/operator/src/report.rs
+++ b/crates/operator/src/report.rs
@@ -1,137 +1,141 @@
-//! What a node reports about itself and the fleet as it sees it.
+//! A node's report about itself and its view of the fleet.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// One node's report.
+/// Report of one node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct Report {
-    /// Address of the node's exchange.
+    /// Address at which the node exchanges frames with other nodes.
     pub node: String,
-    /// Its failure domain.
+    /// The node's failure domain.
     pub failure_domain: String,
     /// `starting`, `fresh`, `ready` or `leaving`.
     pub phase: String,
-    /// Why it is not ready; absent if it is.
+    /// Why the node is not ready; absent if it is ready.
     pub not_ready: Option<String>,
-    /// Version of the configuration in force here; 0 for none.
+    /// Version of the configuration in force at this node; 0 for none.
     pub in_force: u64,
-    /// Times that the platform has come back from an older copy, as it counts them, as far as is known here.
+    /// The latest era of the platform that this node knows. The platform begins a new era each time it is restored from
+    /// an older copy.
     pub registry_era: u32,
-    /// The platform's revision of the latest change of the endpoints that is known here, within that era.
+    /// Revision, within that era, of the latest change of endpoints that this node knows.
     pub registry_revision: u64,
-    /// Whether this node reads the platform, for itself and its failure domain.
+    /// Whether this node is the reader of the platform for its failure domain.
     pub reads_platform: bool,
-    /// Whether the platform, or a node that reads it, was heard of a moment ago.
+    /// Whether the node's data was recently confirmed as fresh by the platform or a node that reads it.
     pub is_fresh: bool,
-    /// Calls to the platform since the start.
+    /// Calls to the platform since the node's start.
     pub platform_calls: u64,
-    /// Why the newest configuration that was seen is not accepted; absent if it is.
+    /// Why the newest known configuration was refused; absent if it was accepted.
     pub rejected: Option<String>,
-    /// What was left out of the configuration in force because it cannot be served.
+    /// Invalid parts that were left out of the configuration in force, one line each.
     #[serde(default)]
     pub left_out: Vec<String>,
-    /// Other nodes.
+    /// The other nodes of the fleet.
     pub members: Vec<MemberReport>,
-    /// Services.
+    /// The services in force.
     pub services: Vec<ServiceReport>,
-    /// Limited organisations: those that were refused most at this node's buckets first, and not all if they are many.
+    /// Organisations with a rate limit, those refused most often by this node's buckets first. The list is truncated if
+    /// there are many.
     pub organisations: Vec<OrganisationReport>,
-    /// Bytes of the exchange sent and received since the start.
+    /// Bytes sent and received in the exchange between nodes since the start.
     pub control_bytes: u64,
-    /// Frames and bytes about slots since the start.
+    /// Frames about slots since the start.
     pub permit_frames: u64,
     /// Bytes about slots since the start.
     pub permit_bytes: u64,
-    /// Frames dropped as forged or malformed since the start.
+    /// Frames dropped since the start because they were forged or malformed.
     pub frames_dropped: u64,
-    /// Exchange rounds put off by the byte budget since the start.
+    /// Exchange rounds delayed by the byte budget since the start.
     pub rounds_delayed: u64,
-    /// Slots picked by this node alone because no dispatching node answered.
+    /// Slots that this node chose by itself because no dispatching node answered.
     pub direct_slots: u64,
 }
 
-/// Another node, as this one last heard of it.
+/// Last received state of another node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct MemberReport {
-    /// Address of its exchange.
+    /// Address at which the node exchanges frames with other nodes.
     pub node: String,
     /// `starting`, `ready` or `leaving`.
     pub phase: String,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force at that node.
     pub in_force: u64,
-    /// The platform's era as far as it is known there.
+    /// The latest era of the platform that the node knows.
     pub registry_era: u32,
-    /// The platform's revision of the latest change of the endpoints that is known there, within that era.
+    /// Revision, within that era, of the latest change of endpoints that the node knows.
     pub registry_revision: u64,
-    /// Milliseconds since it was heard of.
+    /// Milliseconds since the node was last seen.
     pub heard_ms: u64,
 }
 
-/// One service.
+/// A service and its endpoints.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct ServiceReport {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Endpoints that ejections never go below.
+    /// Number of healthy endpoints that ejections never go below.
     pub floor: usize,
-    /// Endpoints in rotation with fresh proof of health.
+    /// Number of endpoints in rotation that were recently confirmed as healthy.
     pub healthy: usize,
-    /// Requests that wait for a slot at this node.
+    /// Requests that are waiting for a slot at this node.
     pub queued: usize,
-    /// Address of the exchange of the node that hands out its slots, as this node sees it. What that
-    /// node reports about the endpoints is what counts.
+    /// Address of the node that hands out the service's slots, as this node sees it. That node's report about the
+    /// endpoints is authoritative.
     pub dispatched_by: Option<String>,
-    /// Path, shared and reporter faults that ejected nobody.
+    /// Numbers of failures attributed to the network path, to a shared cause and to the reporting node, none of which
+    /// ejected an endpoint.
     pub excused: [u64; 3],
-    /// Its endpoints.
+    /// The service's endpoints.
     pub endpoints: Vec<EndpointReport>,
 }
 
-/// An organisation with an allowance.
+/// An organisation with a rate limit.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct OrganisationReport {
-    /// Its name.
+    /// Name of the organisation.
     pub name: String,
-    /// Requests a second that it may make of the fleet.
+    /// Requests per second that the organisation may send to the fleet.
     pub rate_per_s: f64,
-    /// Requests beyond that at once.
+    /// Requests beyond the rate that may be sent in a burst.
     pub burst: f64,
-    /// Address of the exchange of the node that owns its bucket, as this node sees it. The figures there are what counts.
+    /// Address of the node that owns the organisation's bucket, as this node sees it. That node's figures are
+    /// authoritative.
     pub owned_by: Option<String>,
-    /// Requests that may run now; absent where this node was not asked lately.
+    /// Requests that the bucket would grant now; absent if this node was not asked recently.
     pub left: Option<f64>,
-    /// Requests that this node has granted as the owner.
+    /// Requests that this node has granted as the bucket's owner.
     pub granted: u64,
-    /// Requests that this node has refused as the owner.
+    /// Requests that this node has refused as the bucket's owner.
     pub refused: u64,
 }
 
-/// One endpoint.
+/// The state of an endpoint as this node sees it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct EndpointReport {
-    /// Identity of this life of the endpoint.
+    /// Id of the endpoint.
     pub id: String,
     /// IP address and port.
     pub addr: String,
-    /// Its failure domain.
+    /// The endpoint's failure domain.
     pub failure_domain: String,
     /// `unknown`, `healthy`, `suspect`, `ramping`, `ejected`, `trial` or `leaving`.
     pub state: String,
-    /// Milliseconds in that state.
+    /// Milliseconds since the endpoint entered this state.
     pub since_ms: u64,
-    /// Score of the sequential test.
+    /// Score of the sequential test that detects outliers.
     pub score: f64,
-    /// Probability that it is sick, by the outcomes of the last seconds.
+    /// Probability that the endpoint is unhealthy, given the outcomes of the last seconds.
     pub sick: f64,
-    /// How it is used for that: `freely`, `singly`, `cautiously` or `last`.
+    /// How the endpoint is used at this probability: `freely`, `singly`, `cautiously` or `last`.
     pub used: String,
-    /// Milliseconds since its last failure; absent if none is known.
+    /// Milliseconds since the endpoint's last failure; absent if no failure is known.
     pub failed_ms: Option<u64>,
-    /// Requests a second that it says it takes from all nodes together; absent if it names no limit.
+    /// Advertised limit in requests per second from all nodes together; absent if the endpoint advertises none.
     pub limit_per_s: Option<f64>,
-    /// Slots in use, as counted here.
+    /// Slots in use, as counted by this node.
     pub in_use: u32,
-    /// Whether this node dispatches the endpoint for the fleet.
+    /// Whether this node dispatches requests to the endpoint for the fleet.
     pub dispatched_here: bool,
 }
--- a/crates/operator/src/server.rs
+++ b/crates/operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The dropshot server.
+//! The HTTP server of the API, built on dropshot.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,75 +18,75 @@
 
 use crate::{Access, Report};
 
-/// Longest time that a watch waits.
+/// Upper limit for the wait of a watch.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// What is in force at this node.
+/// The configuration in force at this node.
 #[derive(Clone, Debug, Default)]
 pub struct Published {
-    /// Its version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Its documents.
+    /// Resources of the configuration.
     pub resources: Arc<Vec<Resource>>,
 }
 
-/// What the API reads. The node writes to the other ends.
+/// The data that the API reads. The node holds the other ends of the channels.
 #[derive(Clone)]
 pub struct ApiContext {
-    /// What is in force.
+    /// The configuration in force.
     pub published: watch::Receiver<Published>,
-    /// Why the node is not ready; nothing if it is.
+    /// Why the node is not ready; `None` if it is ready.
     pub not_ready: watch::Receiver<Option<String>>,
-    /// Asks the node for its report, which is made only when it is asked for.
+    /// Requests a report from the node, which builds reports only on request.
     pub reports: mpsc::UnboundedSender<oneshot::Sender<Report>>,
-    /// All metrics.
+    /// Registry of all metrics.
     pub registry: Registry,
-    /// Who may use more than liveness, readiness and metrics.
+    /// Access control for everything except liveness, readiness and metrics.
     pub access: Access,
-    /// Where to send faults to induce; absent unless the settings allow fault injection.
+    /// Receives the faults to inject; absent unless the settings allow fault injection.
     pub faults: Option<mpsc::UnboundedSender<Cut>>,
 }
 
-/// A cut in one direction: frames to these nodes are dropped before they are sent.
+/// A network cut in one direction: this node drops frames to the listed nodes instead of sending them.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct Cut {
-    /// Addresses of the nodes' exchange; an empty list heals the cut.
+    /// Addresses at which the nodes exchange frames; an empty list ends the cut.
     #[schemars(with = "Vec<String>")]
     pub to: Vec<SocketAddr>,
 }
 
-/// A document with what the node reports about it.
+/// A resource with its status at the node.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct ResourceView {
-    /// The document as published.
+    /// The resource as published.
     pub spec: Resource,
-    /// What the node reports about it.
+    /// The status of the resource at the node.
     pub status: ResourceStatus,
 }
 
-/// What a node reports about a document.
+/// Status of a resource at a node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, JsonSchema)]
 pub struct ResourceStatus {
-    /// Version of the configuration in force that contains it.
+    /// Version of the configuration in force that contains the resource.
     pub in_force: u64,
-    /// For a service: endpoints in rotation with fresh proof of health.
+    /// For a service: number of endpoints in rotation that were recently confirmed as healthy.
     pub healthy: Option<usize>,
-    /// For a service: its floor in endpoints.
+    /// For a service: the floor as a number of endpoints.
     pub floor: Option<usize>,
 }
 
-/// Documents of one configuration.
+/// Resources of the configuration in force.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Resources {
     /// Version of the configuration in force; pass it as `after` to wait for the next one.
     pub version: u64,
-    /// The documents.
+    /// The resources with their status.
     pub items: Vec<ResourceView>,
 }
 
 #[derive(Deserialize, JsonSchema)]
 struct Filter {
-    /// Only documents of this kind.
+    /// Return only resources of this kind.
     kind: Option<String>,
 }
 
@@ -100,7 +100,7 @@
 struct After {
     /// Wait until a version above this one is in force.
     after: u64,
-    /// Wait this long at most, in milliseconds.
+    /// Maximum wait in milliseconds.
     wait_ms: Option<u64>,
 }
 
@@ -114,7 +114,7 @@
     ready: bool,
 }
 
-/// All endpoints of the API.
+/// Returns the description of the API with all of its operations.
 pub fn api_description() -> ApiDescription<ApiContext> {
     let mut api = ApiDescription::new();
     let registered = api
@@ -131,40 +131,40 @@
     api
 }
 
-/// Starts the server; it must be polled by a runtime.
+/// Starts the server. Must be called within a tokio runtime.
 pub fn serve(
     addr: SocketAddr,
     view: ApiContext,
     log: &Logger,
 ) -> Result<HttpServer<ApiContext>, String> {
     let config = ConfigDropshot { bind_address: addr, ..ConfigDropshot::default() };
-    // The balancer asks every second; a line for each question would drown the others.
-    let quiet = slog::LevelFilter::new(log.clone(), slog::Level::Warning);
-    let log = Logger::root(slog::Fuse::new(quiet), slog::o!());
+    // Load balancers probe every second, and a log line per probe would hide other lines.
+    let warnings_only = slog::LevelFilter::new(log.clone(), slog::Level::Warning);
+    let log = Logger::root(slog::Fuse::new(warnings_only), slog::o!());
     HttpServerStarter::new(&config, api_description(), view, &log)
         .map(HttpServerStarter::start)
         .map_err(|it| format!("operator API at {addr}: {it}"))
 }
 
-/// Whether the process runs.
+/// Check whether the process is alive.
 #[endpoint { method = GET, path = "/v1/live" }]
 async fn live(_cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Alive>, HttpError> {
     Ok(HttpResponseOk(Alive { alive: true }))
 }
 
-/// Whether the node should get traffic; if not, the answer is 503 with the reason.
+/// Check whether the node should get traffic; if not, the answer is 503 with the reason.
 #[endpoint { method = GET, path = "/v1/ready" }]
 async fn ready(cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Ready>, HttpError> {
     readiness(&cx)
 }
 
-/// The same, where balancers usually look.
+/// Same as /v1/ready, at the path that load balancers commonly probe.
 #[endpoint { method = GET, path = "/readyz" }]
 async fn readyz(cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Ready>, HttpError> {
     readiness(&cx)
 }
 
-fn allow(cx: &RequestContext<ApiContext>) -> Result<(), HttpError> {
+fn authorize(cx: &RequestContext<ApiContext>) -> Result<(), HttpError> {
     Ok(cx.context().access.check(cx.request.headers(), cx.request.remote_addr())?)
 }
 
@@ -175,66 +175,66 @@
     }
 }
 
-/// Documents in force.
+/// List the resources in force.
 #[endpoint { method = GET, path = "/v1/resources" }]
 async fn list(
     cx: RequestContext<ApiContext>,
     query: Query<Filter>,
 ) -> Result<HttpResponseOk<Resources>, HttpError> {
-    allow(&cx)?;
+    authorize(&cx)?;
     let kind = query.into_inner().kind;
-    let is_wanted = |it: &Resource| kind.as_ref().is_none_or(|kind| it.kind() == kind);
-    Ok(HttpResponseOk(cx.context().resources(is_wanted).await?))
+    let filter = |it: &Resource| kind.as_ref().is_none_or(|kind| it.kind() == kind);
+    Ok(HttpResponseOk(cx.context().resources(filter).await?))
 }
 
-/// One document in force.
+/// Get one resource in force.
 #[endpoint { method = GET, path = "/v1/resources/{kind}/{name}" }]
 async fn get(
     cx: RequestContext<ApiContext>,
     path: Path<Named>,
 ) -> Result<HttpResponseOk<ResourceView>, HttpError> {
-    allow(&cx)?;
+    authorize(&cx)?;
     let Named { kind, name } = path.into_inner();
-    let is_wanted = |it: &Resource| it.kind() == kind && *it.name() == name;
-    let found = cx.context().resources(is_wanted).await?.items.into_iter().next();
+    let filter = |it: &Resource| it.kind() == kind && *it.name() == name;
+    let found = cx.context().resources(filter).await?.items.into_iter().next();
     found.map(HttpResponseOk).ok_or_else(|| {
         let text = format!("no {kind} `{name}` is in force: see GET /v1/resources for what is");
         HttpError::for_not_found(None, text.clone()).with_reason(&text)
     })
 }
 
-/// Waits for a newer configuration and returns the documents then in force.
+/// Wait for a newer configuration and return the resources then in force.
 #[endpoint { method = GET, path = "/v1/watch" }]
 async fn watch_resources(
     cx: RequestContext<ApiContext>,
     query: Query<After>,
 ) -> Result<HttpResponseOk<Resources>, HttpError> {
-    allow(&cx)?;
+    authorize(&cx)?;
     let After { after, wait_ms } = query.into_inner();
     let wait = wait_ms.map_or(MAX_WAIT, Duration::from_millis).min(MAX_WAIT);
     let mut published = cx.context().published.clone();
     let newer = published.wait_for(|it| it.version > after);
-    // Running out of time is an answer too: the version in it tells that nothing is new.
+    // A timeout is not an error: the unchanged version in the answer shows that no newer configuration is in force.
     let _ = tokio::time::timeout(wait, newer).await;
     Ok(HttpResponseOk(cx.context().resources(|_| true).await?))
 }
 
-/// The fleet as this node sees it.
+/// Get this node's report about the fleet.
 #[endpoint { method = GET, path = "/v1/fleet" }]
 async fn fleet(cx: RequestContext<ApiContext>) -> Result<HttpResponseOk<Report>, HttpError> {
-    allow(&cx)?;
+    authorize(&cx)?;
     Ok(HttpResponseOk(cx.context().report().await?))
 }
 
-/// Induces a cut between nodes, for failure tests. Refused unless the settings allow it.
+/// Inject a network cut between nodes for failure tests. Refused unless the settings allow fault injection.
 #[endpoint { method = PUT, path = "/v1/faults/cut" }]
 async fn put_cut(
     cx: RequestContext<ApiContext>,
     cut: TypedBody<Cut>,
 ) -> Result<HttpResponseOk<Cut>, HttpError> {
-    allow(&cx)?;
+    authorize(&cx)?;
     let Some(faults) = &cx.context().faults else {
-        let text = "faults are not induced here: set `operator.fault_injection` in a test fleet";
+        let text = "fault injection is disabled: set `operator.fault_injection` in the settings of a test fleet";
         return Err(HttpError::for_client_error(
             None,
             ClientErrorStatusCode::FORBIDDEN,
@@ -242,12 +242,12 @@
         ));
     };
     let cut = cut.into_inner();
-    // The node ends only after this server.
+    // Sending cannot fail while the server runs because the node stops after the server.
     let _ = faults.send(cut.clone());
     Ok(HttpResponseOk(cut))
 }
 
-/// Metrics in the prometheus text format.
+/// Get metrics in the Prometheus text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn metrics(cx: RequestContext<ApiContext>) -> Result<Response<Body>, HttpError> {
     let mut buf = Vec::new();
@@ -262,19 +262,16 @@
     async fn report(&self) -> Result<Report, HttpError> {
         let (tx, rx) = oneshot::channel();
         let _ = self.reports.send(tx);
-        rx.await.map_err(|_| HttpError::for_unavail(None, "the node is ending".to_owned()))
+        rx.await.map_err(|_| HttpError::for_unavail(None, "the node is shutting down".to_owned()))
     }
 
-    async fn resources(
-        &self,
-        is_wanted: impl Fn(&Resource) -> bool,
-    ) -> Result<Resources, HttpError> {
+    async fn resources(&self, filter: impl Fn(&Resource) -> bool) -> Result<Resources, HttpError> {
         let report = self.report().await?;
         let published = self.published.borrow().clone();
         let items = published
             .resources
             .iter()
-            .filter(|it| is_wanted(it))
+            .filter(|it| filter(it))
             .map(|it| ResourceView { spec: it.clone(), status: status(it, &published, &report) })
             .collect();
         Ok(Resources { version: published.version, items })
@@ -293,7 +290,8 @@
     }
 }
 
-/// dropshot keeps the text of a server error to itself unless it is put in the external message.
+/// Exposes the text of a server error to the client. By default dropshot sends only the external message of an error and
+/// keeps the internal one private.
 trait WithReason {
     fn with_reason(self, reason: &str) -> Self;
 }
