--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -23,7 +23,7 @@
 pub use organisation_index::OrganisationIndex;
 pub use routing::{Config, RouteTable};
 pub use source::{Source, SourceError};
-pub use validate::{Problem, sift, validate};
+pub use validate::{Problem, leave_out_invalid, validate};
 
 #[cfg(test)]
 mod tests;
--- a/crates/resources/src/tests.rs
+++ b/crates/resources/src/tests.rs
@@ -157,7 +157,7 @@
         )
         .replace(r#""name":"host""#, r#""name":"lookup""#);
     let mut resources = parse(&text);
-    let problems = crate::sift(&mut resources);
+    let problems = crate::leave_out_invalid(&mut resources);
     let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
     expect![[r#"
         Route/lookup: name: the name is taken: rename one of the two
--- a/crates/resources/src/validate.rs
+++ b/crates/resources/src/validate.rs
@@ -60,7 +60,7 @@
 
 /// Removes invalid resources and returns their problems. An invalid route is suspended instead of removed: without it, a
 /// route with a shorter prefix would match its requests. A suspended route that is still invalid is removed.
-pub fn sift(resources: &mut Vec<Resource>) -> Vec<Problem> {
+pub fn leave_out_invalid(resources: &mut Vec<Resource>) -> Vec<Problem> {
     let mut left_out = Vec::new();
     loop {
         let problems = validate(resources);
